--- a/src/base/counters.cpp
+++ b/src/base/counters.cpp
@@ -7,7 +7,7 @@
 namespace harrierpass {
 namespace {
 
-constexpr std::array<std::string_view, static_cast<std::size_t>(count::total)> names = {
+constexpr std::array<std::string_view, static_cast<std::size_t>(counter::total)> names = {
     "queries_taken",
     "queries_malformed",
     "queries_crowded_out",
@@ -49,7 +49,7 @@
 
 void counters::print(std::ostream &to) const {
     for (std::size_t i = 0; i < names.size(); ++i)
-        to << "counter " << names[i] << ' ' << of(static_cast<count>(i)) << '\n';
+        to << "counter " << names[i] << ' ' << of(static_cast<counter>(i)) << '\n';
     to << std::flush;
 }
 
--- a/src/base/counters.hpp
+++ b/src/base/counters.hpp
@@ -10,57 +10,57 @@
 namespace harrierpass {
 
 // In the order in which they are printed; the names stand in counters.cpp.
-enum class count : std::uint8_t {
-    taken,
+enum class counter : std::uint8_t {
+    requests,
     bad_requests,
-    crowded_out,
+    rejected_too_many_connections,
     completed,
     rejected,
     aborted,
-    left,
-    answers_cut,
-    sent,
-    ended_completed,
-    ended_error,
-    ended_queue_full,
-    ended_timed_out,
-    ended_connect_error,
-    ended_reset,
-    ended_canceled,
-    ended_miss,
-    ended_spoilt,
-    probes,
-    probes_answered,
-    lists,
-    lists_lost,
-    list_calls_whole,
-    list_calls_watch,
-    lists_refused,
-    lists_doubted,
+    client_disconnects,
+    truncated_responses,
+    attempts_sent,
+    attempts_completed,
+    attempts_error,
+    attempts_overloaded,
+    attempts_timed_out,
+    attempts_connect_error,
+    attempts_reset,
+    attempts_canceled,
+    attempts_cache_miss,
+    attempts_malformed,
+    health_checks,
+    health_checks_answered,
+    endpoint_updates,
+    polls_failed,
+    snapshot_polls,
+    watch_polls,
+    polls_rejected,
+    snapshots_doubted,
     snapshots_written,
     snapshots_failed,
-    adopted,
+    configurations_applied,
     invariants_violated,
-    clients_accepted,
-    clients_ended,
-    server_dials,
-    server_dials_failed,
-    server_kept_used,
-    server_kept_stale,
+    client_connections_accepted,
+    client_connections_closed,
+    upstream_connects,
+    upstream_connects_failed,
+    upstream_connections_reused,
+    upstream_connections_stale,
     total
 };
 
 class counters {
 public:
-    void add(count which) { at(which).fetch_add(1, std::memory_order_relaxed); }
-    std::uint64_t of(count which) const {
+    void add(counter which) { at(which).fetch_add(1, std::memory_order_relaxed); }
+    std::uint64_t of(counter which) const {
         return values_[static_cast<std::size_t>(which)].load(std::memory_order_relaxed);
     }
     void print(std::ostream &to) const; // a line each: name and value
 
 private:
-    std::atomic<std::uint64_t> &at(count which) { return values_[static_cast<std::size_t>(which)]; }
-    std::array<std::atomic<std::uint64_t>, static_cast<std::size_t>(count::total)> values_{};
+    std::atomic<std::uint64_t> &at(counter which) { return values_[static_cast<std::size_t>(which)]; }
+    std::array<std::atomic<std::uint64_t>, static_cast<std::size_t>(counter::total)> values_{};
 };
 
 } // namespace harrierpass
--- a/src/base/json.cpp
+++ b/src/base/json.cpp
@@ -18,7 +18,7 @@
         json made = value(0);
         space();
         if (!left_.empty())
-            throw bad_text{"JSON: text after the value"};
+            throw parse_error{"JSON: text after the value"};
         return made;
     }
 
@@ -33,12 +33,12 @@
     }
     void need(char one, const char *fault) {
         if (!next_is(one))
-            throw bad_text{fault};
+            throw parse_error{fault};
     }
 
     json value(int depth) {
         if (depth > most_depth)
-            throw bad_text{"JSON: nested too deep"};
+            throw parse_error{"JSON: nested too deep"};
         space();
         json made;
         const char first = left_.empty() ? '\0' : left_.front();
@@ -47,13 +47,13 @@
         } else if (first == '[') {
             list(made, depth);
         } else if (first == '"') {
-            made.is = json::kind::text;
+            made.type = json::kind::string;
             made.text = string();
         } else if (first == '-' || (first >= '0' && first <= '9')) {
             number(made);
-        } else if (!word(made, "true", json::kind::truth) && !word(made, "false", json::kind::truth) &&
+        } else if (!word(made, "true", json::kind::boolean) && !word(made, "false", json::kind::boolean) &&
                    !word(made, "null", json::kind::null)) {
-            throw bad_text{"JSON: no value"};
+            throw parse_error{"JSON: no value"};
         }
         return made;
     }
@@ -62,23 +62,23 @@
         if (!left_.starts_with(name))
             return false;
         left_.remove_prefix(name.size());
-        made.is = is;
+        made.type = is;
         made.text = name;
         return true;
     }
 
     void object(json &made, int depth) {
-        made.is = json::kind::object;
+        made.type = json::kind::object;
         left_.remove_prefix(1);
         if (next_is('}'))
             return;
         do {
             space();
             if (left_.empty() || left_.front() != '"')
-                throw bad_text{"JSON: no name in an object"};
+                throw parse_error{"JSON: no name in an object"};
             std::string name = string();
             if (made.find(name) != nullptr)
-                throw bad_text{"JSON: a name twice in an object"};
+                throw parse_error{"JSON: a name twice in an object"};
             need(':', "JSON: no ':' after a name");
             json one = value(depth + 1);
             made.members.push_back({std::move(name), std::move(one)});
@@ -87,7 +87,7 @@
     }
 
     void list(json &made, int depth) {
-        made.is = json::kind::list;
+        made.type = json::kind::array;
         left_.remove_prefix(1);
         if (next_is(']'))
             return;
@@ -102,7 +102,7 @@
         while (at < left_.size() && left_[at] >= '0' && left_[at] <= '9')
             ++at;
         if (at == from)
-            throw bad_text{"JSON: a number without digits"};
+            throw parse_error{"JSON: a number without digits"};
         return at;
     }
 
@@ -111,7 +111,7 @@
         const std::size_t first = at;
         at = digits(at);
         if (left_[first] == '0' && at > first + 1)
-            throw bad_text{"JSON: a number with a leading zero"};
+            throw parse_error{"JSON: a number with a leading zero"};
         if (at < left_.size() && left_[at] == '.')
             at = digits(at + 1);
         if (at < left_.size() && (left_[at] == 'e' || left_[at] == 'E')) {
@@ -120,25 +120,25 @@
                 ++at;
             at = digits(at);
         }
-        made.is = json::kind::number;
+        made.type = json::kind::number;
         made.text = left_.substr(0, at);
         left_.remove_prefix(at);
     }
 
     std::uint32_t four_hex() {
         if (left_.size() < 4)
-            throw bad_text{"JSON: a cut escape"};
+            throw parse_error{"JSON: a cut escape"};
         std::uint32_t code = 0;
         const auto [end, error] = std::from_chars(left_.data(), left_.data() + 4, code, 16);
         if (error != std::errc{} || end != left_.data() + 4)
-            throw bad_text{"JSON: a bad escape"};
+            throw parse_error{"JSON: a bad escape"};
         left_.remove_prefix(4);
         return code;
     }
 
     void escape(std::string &to) {
         if (left_.empty())
-            throw bad_text{"JSON: a cut escape"};
+            throw parse_error{"JSON: a cut escape"};
         const char one = left_.front();
         left_.remove_prefix(1);
         constexpr std::string_view from = "\"\\/bfnrt", meant = "\"\\/\b\f\n\r\t";
@@ -147,18 +147,18 @@
             return;
         }
         if (one != 'u')
-            throw bad_text{"JSON: a bad escape"};
+            throw parse_error{"JSON: a bad escape"};
         std::uint32_t code = four_hex();
         if (code >= 0xD800 && code < 0xDC00) {
             if (!left_.starts_with("\\u"))
-                throw bad_text{"JSON: half a pair of escapes"};
+                throw parse_error{"JSON: half a pair of escapes"};
             left_.remove_prefix(2);
             const std::uint32_t low = four_hex();
             if (low < 0xDC00 || low > 0xDFFF)
-                throw bad_text{"JSON: half a pair of escapes"};
+                throw parse_error{"JSON: half a pair of escapes"};
             code = 0x10000 + ((code - 0xD800) << 10) + (low - 0xDC00);
         } else if (code >= 0xDC00 && code < 0xE000) {
-            throw bad_text{"JSON: half a pair of escapes"};
+            throw parse_error{"JSON: half a pair of escapes"};
         }
         const auto put = [&](std::uint32_t bits) { to += static_cast<char>(bits); };
         if (code < 0x80) {
@@ -183,13 +183,13 @@
         std::string made;
         for (;;) {
             if (left_.empty())
-                throw bad_text{"JSON: a text without its end"};
+                throw parse_error{"JSON: a text without its end"};
             const char one = left_.front();
             left_.remove_prefix(1);
             if (one == '"')
                 return made;
             if (static_cast<unsigned char>(one) < 0x20)
-                throw bad_text{"JSON: a control character in a text"};
+                throw parse_error{"JSON: a control character in a text"};
             if (one == '\\')
                 escape(made);
             else
@@ -208,15 +208,16 @@
     return found == members.end() ? nullptr : &found->value;
 }
 
-std::string_view json::text_at(std::string_view name) const {
+std::string_view json::string_at(std::string_view name) const {
     const json *found = find(name);
     return found == nullptr ? std::string_view{} : std::string_view(found->text);
 }
 
 double json::number_at(std::string_view name, double absent) const {
     const json *found = find(name);
-    return found == nullptr || found->is == kind::null ? absent
-                                                       : parse_number<double>(found->text, "JSON: no number");
+    return found == nullptr || found->type == kind::null
+               ? absent
+               : parse_number<double>(found->text, "JSON: no number");
 }
 
 json read_json(std::string_view text) {
--- a/src/base/json.hpp
+++ b/src/base/json.hpp
@@ -12,15 +12,15 @@
 struct json_member;
 
 struct json {
-    enum class kind : std::uint8_t { null, truth, number, text, list, object };
+    enum class kind : std::uint8_t { null, boolean, number, string, array, object };
 
-    kind is = kind::null;
+    kind type = kind::null;
     std::string text; // a text's own; a number's digits; "true" or "false"
     std::vector<json> items;
     std::vector<json_member> members;
 
     const json *find(std::string_view name) const; // null where absent or no object
-    std::string_view text_at(std::string_view name) const;
+    std::string_view string_at(std::string_view name) const;
     double number_at(std::string_view name, double absent) const;
 };
 
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -15,14 +15,14 @@
 
 } // namespace
 
-level level_of(std::string_view name) {
+log_level parse_log_level(std::string_view name) {
     for (std::size_t i = 0; i < names.size(); ++i)
         if (names[i] == name)
-            return static_cast<level>(i);
+            return static_cast<log_level>(i);
     throw std::invalid_argument("the log level is none of debug, info, warning, error");
 }
 
-void log::write(level how, const std::string &text) {
+void log::write(log_level how, const std::string &text) {
     using namespace std::chrono;
     const auto now = system_clock::now();
     const std::time_t second = system_clock::to_time_t(now);
--- a/src/startup/snapshot.cpp
+++ b/src/discovery/endpoint_snapshot.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "startup/snapshot.hpp"
+#include "discovery/endpoint_snapshot.hpp"
 
 #include "base/text.hpp"
 
@@ -9,7 +9,7 @@
 #include <sstream>
 #include <xxhash.h>
 
-namespace harrierpass::startup {
+namespace harrierpass::discovery {
 namespace {
 
 // One line of head, `MAGIC VERSION LENGTH CHECKSUM`, then so many bytes: a line each for name, address and
@@ -39,20 +39,21 @@
     return names[static_cast<std::size_t>(of)];
 }
 
-std::string to_text(const snapshot &from) {
+std::string to_text(const endpoint_snapshot &from) {
     std::ostringstream body;
-    body << from.name << '\n'
-         << from.discovery << '\n'
-         << std::setprecision(17) << from.written << '\n'
-         << from.list;
+    body << from.proxy_name << '\n'
+         << from.discovery_address << '\n'
+         << std::setprecision(17) << from.written_at << '\n'
+         << from.endpoints;
     const std::string text = body.str();
     std::ostringstream whole;
     whole << magic << ' ' << version << ' ' << text.size() << ' ' << checksum(text) << '\n' << text;
     return whole.str();
 }
 
-snapshot_read read_snapshot(std::string_view text, const snapshot &here, double now, double most_age) {
-    snapshot_read made;
+snapshot_read_result read_snapshot(std::string_view text, const endpoint_snapshot &here, double now,
+                                   double most_age) {
+    snapshot_read_result made;
     const auto refused = [&](snapshot_fault why) {
         made = {};
         made.fault = why;
@@ -60,26 +61,27 @@
     };
     std::string_view head = text.substr(0, std::min(text.find('\n'), longest_head));
     if (head.size() == text.size() || head.size() == longest_head || cut(head, ' ') != magic)
-        return refused(snapshot_fault::torn);
+        return refused(snapshot_fault::truncated);
     std::string_view body = text.substr(text.find('\n') + 1);
     if (cut(head, ' ') != version)
-        return refused(snapshot_fault::version);
+        return refused(snapshot_fault::unknown_version);
     try {
         if (parse_number<std::size_t>(cut(head, ' '), "no length") != body.size())
-            return refused(snapshot_fault::torn);
+            return refused(snapshot_fault::truncated);
         if (head != checksum(body))
-            return refused(snapshot_fault::damaged);
-        made.made.name = cut(body, '\n');
-        made.made.discovery = cut(body, '\n');
-        made.made.written = parse_number<double>(cut(body, '\n'), "no time");
-        made.made.list = body;
-    } catch (const bad_text &) {
-        return refused(snapshot_fault::damaged);
+            return refused(snapshot_fault::checksum_mismatch);
+        made.snapshot.proxy_name = cut(body, '\n');
+        made.snapshot.discovery_address = cut(body, '\n');
+        made.snapshot.written_at = parse_number<double>(cut(body, '\n'), "no time");
+        made.snapshot.endpoints = body;
+    } catch (const parse_error &) {
+        return refused(snapshot_fault::checksum_mismatch);
     }
-    if (made.made.name != here.name || made.made.discovery != here.discovery)
-        return refused(snapshot_fault::foreign);
-    made.age = std::max(0.0, now - made.made.written);
-    return made.age > most_age ? refused(snapshot_fault::old) : made;
+    if (made.snapshot.proxy_name != here.proxy_name ||
+        made.snapshot.discovery_address != here.discovery_address)
+        return refused(snapshot_fault::other_source);
+    made.age = std::max(0.0, now - made.snapshot.written_at);
+    return made.age > most_age ? refused(snapshot_fault::expired) : made;
 }
 
-} // namespace harrierpass::startup
+} // namespace harrierpass::discovery
--- a/src/startup/pace.cpp
+++ b/src/discovery/poll_intervals.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "startup/pace.hpp"
+#include "discovery/poll_intervals.hpp"
 
 #include <algorithm>
 
-namespace harrierpass::startup {
+namespace harrierpass::discovery {
 namespace {
 
 constexpr double first_load = 5;  // times what it can do that the service is asked for at first: most of a
@@ -20,23 +20,25 @@
 
 } // namespace
 
-pace pace_of(const terms &given) {
-    pace made;
-    if (given.service == list_form::agent) {
-        made.watch_wait = given.agent_wait;
-        made.answer_limit = given.agent_limit;
+poll_intervals compute_poll_intervals(const poll_settings &given) {
+    poll_intervals made;
+    if (given.service == list_service_kind::agent) {
+        made.watch_timeout = given.agent_watch_timeout;
+        made.response_timeout = given.agent_response_timeout;
         return made;
     }
-    const double ask_in = given.must_ask_in > 0 ? std::min(given.must_ask_in, usual_ask_in) : usual_ask_in;
-    const double whole = given.peers / given.lists_a_s; // s of the service's work for a list to everybody
-    made.watch_wait = std::min(longest_wait, ask_in * wait_share);
-    made.answer_limit = std::min(longest_answer, ask_in * answer_share);
-    made.first_window = std::min(whole / first_load, ask_in / 2);
-    made.refused_window = whole;
-    made.first_gap = std::max(least_gap, made.first_window);
-    made.most_gap = std::max(made.first_gap, ask_in);
-    made.breath = std::clamp(whole / watch_load, least_breath, most_breath);
+    const double ask_in =
+        given.max_poll_interval > 0 ? std::min(given.max_poll_interval, usual_ask_in) : usual_ask_in;
+    const double whole =
+        given.proxy_count / given.snapshots_per_second; // s of the service's work for a list to everybody
+    made.watch_timeout = std::min(longest_wait, ask_in * wait_share);
+    made.response_timeout = std::min(longest_answer, ask_in * answer_share);
+    made.initial_poll_window = std::min(whole / first_load, ask_in / 2);
+    made.rejected_poll_window = whole;
+    made.min_backoff = std::max(least_gap, made.initial_poll_window);
+    made.max_backoff = std::max(made.min_backoff, ask_in);
+    made.max_watch_delay = std::clamp(whole / watch_load, least_breath, most_breath);
     return made;
 }
 
-} // namespace harrierpass::startup
+} // namespace harrierpass::discovery
--- a/src/hosted/admin_port.cpp
+++ b/src/hosted/admin_port.cpp
@@ -20,17 +20,17 @@
 std::string head_of(const admin::api_answer &of, bool keeps) {
     std::string head =
         "HTTP/1.1 " + std::to_string(of.status) + (of.status < 400 ? " OK\r\n" : " Refused\r\n");
-    put_field(head, "Content-Type", of.type);
-    put_field(head, "Content-Length", std::to_string(of.body.size()));
-    put_field(head, "Cache-Control", "no-store"); // an answer may hold a secret
+    append_header(head, "Content-Type", of.type);
+    append_header(head, "Content-Length", std::to_string(of.body.size()));
+    append_header(head, "Cache-Control", "no-store"); // an answer may hold a secret
     if (!of.etag.empty())
-        put_field(head, "ETag", of.etag);
+        append_header(head, "ETag", of.etag);
     if (!of.location.empty())
-        put_field(head, "Location", of.location);
+        append_header(head, "Location", of.location);
     if (of.status == 401)
-        put_field(head, "WWW-Authenticate", "Bearer");
+        append_header(head, "WWW-Authenticate", "Bearer");
     if (!keeps)
-        put_field(head, "Connection", "close");
+        append_header(head, "Connection", "close");
     return head += "\r\n";
 }
 
@@ -60,7 +60,7 @@
 
 admin_port::~admin_port() {
     over_ = true;
-    call(acceptor_->id());
+    wake_thread(acceptor_->id());
     acceptor_.reset();
 }
 
@@ -122,21 +122,22 @@
     for (;;) {
         buffer.assign(std::max<std::size_t>(buffer_size, rest.size()), '\0');
         std::copy(rest.begin(), rest.end(), buffer.begin());
-        auto reader = std::make_unique<http_reader>(buffer, http_reader::side::request, rest.size());
-        auto state = reader->look();
+        auto reader = std::make_unique<http_reader>(buffer, http_reader::message_kind::request, rest.size());
+        auto state = reader->parse_buffered();
         bool large = buffer.size() > buffer_size;
         double until = steady_now() + (rest.empty() ? most_.idle : most_.request);
         bool begun = !rest.empty();
-        while (state == http_reader::state::more || (state == http_reader::state::too_large && !large)) {
+        while (state == http_reader::state::incomplete ||
+               (state == http_reader::state::too_large && !large)) {
             if (state == http_reader::state::too_large) {
                 // Larger than most: once more from the start in as much room as a body may have.
-                const auto came = static_cast<std::size_t>(reader->room().data() - buffer.data());
+                const auto came = static_cast<std::size_t>(reader->free_space().data() - buffer.data());
                 if (reader->head().method.empty()) // a head without end
                     break;
                 large = true;
-                buffer.resize(head_limit + most_.body);
-                reader = std::make_unique<http_reader>(buffer, http_reader::side::request, came);
-                state = reader->look();
+                buffer.resize(max_head_size + most_.body);
+                reader = std::make_unique<http_reader>(buffer, http_reader::message_kind::request, came);
+                state = reader->parse_buffered();
                 continue;
             }
             if (over_ && !begun)
@@ -148,7 +149,7 @@
                 answer(refusal(408, "too_slow"), false);
                 return "too_slow";
             }
-            const auto room = reader->room();
+            const auto room = reader->free_space();
             const long got = with.read(room.data(), room.size());
             if (got == -2) {
                 with.wait(std::min(left, look));
@@ -158,9 +159,9 @@
                 return got == 0 ? (begun ? "caller_cut" : "caller_closed") : "caller_reset";
             if (!std::exchange(begun, true))
                 until = steady_now() + most_.request;
-            state = reader->took(static_cast<std::size_t>(got));
+            state = reader->received(static_cast<std::size_t>(got));
         }
-        if (state != http_reader::state::whole) {
+        if (state != http_reader::state::complete) {
             const bool big = state == http_reader::state::too_large;
             answer(refusal(big ? 413 : 400, big ? "too_large" : "malformed"), false);
             return big ? "too_large" : "malformed";
@@ -169,20 +170,20 @@
         const auto &head = reader->head();
         // Guards against what two readers would take for different callers, or different writes.
         for (const std::string_view each : {"Authorization", "If-Match", "If-None-Match", "Idempotency-Key"})
-            if (head.count(each) > 1) {
+            if (head.header_count(each) > 1) {
                 answer(refusal(400, "field_twice"), false);
                 return "field_twice";
             }
         admin::api_request asked;
         asked.method = head.method;
         asked.target = head.target;
-        const auto authorization = head.value("Authorization");
-        if (authorization.size() > 7 && same_name(authorization.substr(0, 7), "Bearer "))
+        const auto authorization = head.header("Authorization");
+        if (authorization.size() > 7 && equals_ignoring_case(authorization.substr(0, 7), "Bearer "))
             asked.token = authorization.substr(7);
         asked.certified = who;
-        asked.if_match = head.value("If-Match");
-        asked.if_none_match = head.value("If-None-Match");
-        asked.idempotency_key = head.value("Idempotency-Key");
+        asked.if_match = head.header("If-Match");
+        asked.if_none_match = head.header("If-None-Match");
+        asked.idempotency_key = head.header("Idempotency-Key");
         asked.body = reader->body();
         const auto made = api_.answer(asked);
         if (asked.method != "GET")
@@ -194,7 +195,7 @@
             return "answer_cut";
         if (!keeps)
             return "answered_last";
-        rest = std::string(reader->rest());
+        rest = std::string(reader->pipelined_bytes());
     }
 }
 
--- a/src/lab/judge/merge.cpp
+++ b/src/lab/judge/merge.cpp
@@ -31,7 +31,7 @@
     case seen::kind::died:
         return to.died(event.a);
     case seen::kind::told:
-        return to.told(event.a, event.b, static_cast<listing>(event.small));
+        return to.told(event.a, event.b, static_cast<endpoint_state>(event.small));
     case seen::kind::restarted:
         return to.restarted(event.a, event.flag != 0);
     case seen::kind::paused:
@@ -79,7 +79,7 @@
 void writer::died(index server) {
     note({seen::kind::died, 0, 0, server});
 }
-void writer::told(index proxy, index server, listing as) {
+void writer::told(index proxy, index server, endpoint_state as) {
     note({seen::kind::told, static_cast<std::uint8_t>(as), 0, proxy, server});
 }
 void writer::restarted(index proxy, bool killed) {
--- a/src/lab/judge/merge.hpp
+++ b/src/lab/judge/merge.hpp
@@ -62,7 +62,7 @@
     void ran(operation op, index attempt, index server) override;
     void fell(index server) override;
     void died(index server) override;
-    void told(index proxy, index server, listing as) override;
+    void told(index proxy, index server, endpoint_state as) override;
     void restarted(index proxy, bool killed) override;
     void paused(index proxy, bool begins) override;
     void link_trouble(link_kind kind, index near, index far, bool begins) override;
--- a/src/lab/judge/referee.cpp
+++ b/src/lab/judge/referee.cpp
@@ -180,11 +180,11 @@
     if (sent > one->end + slack_ && !stood && !lay && !one->excused && !one->untaken)
         blame(rule::late, op, "sent to a server after its client's end");
     const auto &known = place(place(told_, one->proxy), server);
-    if (known.as != listing::ready && sent > known.when + given_.list.drain_grace + slack_ && !stood &&
+    if (known.as != endpoint_state::ready && sent > known.when + given_.list.drain_grace + slack_ && !stood &&
         !strained(link_kind::proxy_list, one->proxy, 0, sent))
         blame(rule::drain, op,
               "sent to server " + std::to_string(server) + " longer than the grace after its " +
-                  (known.as == listing::gone ? "end" : "drain") + " was told");
+                  (known.as == endpoint_state::removed ? "end" : "drain") + " was told");
 }
 
 void referee::judge_overlaps(double until) {
@@ -233,7 +233,7 @@
     for (const auto &each : of->runs)
         if (each.ran && &each != &*now && !each.held && !now->held &&
             (group_of(given_, of->use_case, each.server) != group_of(given_, of->use_case, server) ||
-             std::abs(each.received - now->received) >= use.window))
+             std::abs(each.received - now->received) >= use.deduplication_window))
             return blame(rule::ran_twice, op,
                          "a deduplicated operation was sent where, or when, no server knew of it");
     ++late_effects_;
@@ -255,9 +255,9 @@
                 one.out = 0;
 }
 
-void referee::told(index proxy, index server, listing as) {
+void referee::told(index proxy, index server, endpoint_state as) {
     auto &known = place(place(told_, proxy), server);
-    if (known.as == listing::ready || as == listing::ready) // the first word of an end counts
+    if (known.as == endpoint_state::ready || as == endpoint_state::ready) // the first word of an end counts
         known = {as, clock_.now()};
     known.as = as;
 }
@@ -288,7 +288,7 @@
         return;
     // What the list said meanwhile reaches its proxy now.
     for (auto &known : place(told_, near))
-        if (known.as != listing::ready && known.when >= of.since)
+        if (known.as != endpoint_state::ready && known.when >= of.since)
             known.when = clock_.now();
 }
 
--- a/src/lab/judge/referee.hpp
+++ b/src/lab/judge/referee.hpp
@@ -61,7 +61,7 @@
     void ran(operation op, index attempt, index server) override;
     void fell(index server) override;
     void died(index server) override;
-    void told(index proxy, index server, listing as) override;
+    void told(index proxy, index server, endpoint_state as) override;
     void restarted(index proxy, bool killed) override;
     void paused(index proxy, bool begins) override;
     void link_trouble(link_kind kind, index near, index far, bool begins) override;
@@ -118,7 +118,7 @@
         std::vector<step> steps;
     };
     struct notice {
-        listing as = listing::ready;
+        endpoint_state as = endpoint_state::ready;
         double when = 0;
     };
     struct trouble {
--- a/src/lab/load/client_port.cpp
+++ b/src/lab/load/client_port.cpp
@@ -81,7 +81,7 @@
             return;
         }
         ++dials_;
-        on = std::make_shared<channel>(loop_, std::move(socket), http_reader::side::answer);
+        on = std::make_shared<channel>(loop_, std::move(socket), http_reader::message_kind::response);
         on->tag = next_++;
         on->on_message = [this](const auto &from, const http_reader &answer) { message(from, answer); };
         on->on_end = [this](const auto &from, channel::ending how) { ended(from, how); };
@@ -109,14 +109,14 @@
                       : head.status == 503 || head.status == 429 ? reply::rejected
                                                                  : reply::aborted;
     double come_back = 0;
-    const auto wait = head.value("Retry-After");
+    const auto wait = head.header("Retry-After");
     std::from_chars(wait.data(), wait.data() + wait.size(), come_back);
     const bool fits =
         how != reply::completed ||
         answer.body().find("\"query\":\"" + to_id(query.op, query.attempt) + "\"") != std::string_view::npos;
-    const bool keeps = head.keeps_alive() && answer.rest().empty();
+    const bool keeps = head.keeps_alive() && answer.pipelined_bytes().empty();
     // Guards the referee's sight: a second answer may come with the first in one read.
-    if (!answer.rest().empty())
+    if (!answer.pipelined_bytes().empty())
         judge_.answered(query.op, query.attempt, how, fits);
     if (keeps)
         proxies_[of.proxy].idle.push_back(on);
--- a/src/lab/load/clients.cpp
+++ b/src/lab/load/clients.cpp
@@ -172,8 +172,9 @@
     // What was cut off may have run, or may yet: who asks again then must know that a repeat is dropped
     // wherever it comes.
     const auto &use = given_.use_cases[found->second.now.use_case].decides;
-    const bool repeatable = use.effect == effect_kind::idempotent ||
-                            (use.effect == effect_kind::deduplicated && use.group == repeat_group::all);
+    const bool repeatable =
+        use.effect == effect_kind::idempotent ||
+        (use.effect == effect_kind::deduplicated && use.scope == deduplication_scope::all);
     const bool may = how == reply::rejected || (how == reply::cut && repeatable);
     if (!may || found->second.now.attempt >= given_.load.retries)
         return finish(op, how);
@@ -181,7 +182,7 @@
     const double wait = heeds ? come_back : given_.load.impatient * (0.5 + retries_.part());
     // A deduplicated request may be refused although it may have run: its client comes back while servers
     // know it.
-    const double known_until = found->second.first_asked + use.window * window_share;
+    const double known_until = found->second.first_asked + use.deduplication_window * window_share;
     if (use.effect == effect_kind::deduplicated && clock_.now() + wait >= known_until)
         return finish(op, how);
     again(op, wait);
@@ -216,16 +217,17 @@
     const auto &use = given_.use_cases[of.now.use_case];
     const double took = clock_.now() - of.intended;
     const bool served = how == reply::completed;
-    const double worth = !served                        ? 0
-                         : took <= use.decides.slo_time ? use.decides.importance
-                                                        : use.decides.importance * use.decides.tardy;
+    const double worth = !served ? 0
+                         : took <= use.decides.latency_objective
+                             ? use.decides.priority_weight
+                             : use.decides.priority_weight * use.decides.late_value_share;
     const auto add = [&](slot &to) {
-        to.asked += use.decides.importance;
+        to.asked += use.decides.priority_weight;
         to.served += worth;
         ++to.queries;
         to.retries += of.now.attempt;
         to.completed += served;
-        to.late += served && took > use.decides.slo_time;
+        to.late += served && took > use.decides.latency_objective;
         to.rejected += how == reply::rejected;
         to.aborted += how == reply::aborted;
         to.none += how == reply::none || how == reply::cut;
@@ -233,7 +235,7 @@
             to.times.add(took);
     };
     if (on_settled)
-        on_settled(of.now.proxy, worth, use.decides.importance);
+        on_settled(of.now.proxy, worth, use.decides.priority_weight);
     const double at = of.intended - began_;
     add(slots_[std::min(slots_.size() - 1, static_cast<std::size_t>(std::max(0.0, at) / slot_length_))]);
     if (at < given_.settle)
--- a/src/lab/loop/channel.cpp
+++ b/src/lab/loop/channel.cpp
@@ -135,10 +135,10 @@
             buffer_ = std::make_unique<char[]>(buffer_size);
             reader_ = std::make_unique<http_reader>(std::span(buffer_.get(), buffer_size), side_);
         }
-        auto state = http_reader::state::more;
-        const long got = read_some(socket_, reader_->room().data(), reader_->room().size());
+        auto state = http_reader::state::incomplete;
+        const long got = read_some(socket_, reader_->free_space().data(), reader_->free_space().size());
         if (got == -2) {
-            if (!reader_->begun()) {
+            if (!reader_->has_begun()) {
                 reader_.reset();
                 buffer_.reset();
             }
@@ -146,23 +146,23 @@
         }
         if (got > 0) {
             begun_ = true;
-            state = reader_->took(static_cast<std::size_t>(got));
+            state = reader_->received(static_cast<std::size_t>(got));
         } else {
-            state = got == 0 ? reader_->ended() : http_reader::state::cut;
+            state = got == 0 ? reader_->on_peer_closed() : http_reader::state::truncated;
         }
-        if (state == http_reader::state::more)
+        if (state == http_reader::state::incomplete)
             continue;
-        if (state == http_reader::state::cut)
+        if (state == http_reader::state::truncated)
             return lost(got == 0 ? ending::closed : ending::reset);
-        if (state != http_reader::state::whole)
+        if (state != http_reader::state::complete)
             return lost(ending::malformed);
-        while (state == http_reader::state::whole) {
+        while (state == http_reader::state::complete) {
             ++messages;
             begun_ = false;
             on_message(shared_from_this(), *reader_);
             if (!socket_)
                 return;
-            const std::string rest(reader_->rest());
+            const std::string rest(reader_->pipelined_bytes());
             std::memcpy(buffer_.get(), rest.data(), rest.size());
             reader_ =
                 std::make_unique<http_reader>(std::span(buffer_.get(), buffer_size), side_, rest.size());
@@ -171,9 +171,9 @@
                 buffer_.reset();
                 break;
             }
-            state = reader_->look();
+            state = reader_->parse_buffered();
         }
-        if (state != http_reader::state::whole && state != http_reader::state::more)
+        if (state != http_reader::state::complete && state != http_reader::state::incomplete)
             return lost(ending::malformed);
         if (got == 0)
             return lost(ending::closed);
--- a/src/lab/loop/channel.hpp
+++ b/src/lab/loop/channel.hpp
@@ -16,7 +16,7 @@
 public:
     enum class ending { closed, reset, malformed, failed };
 
-    channel(loop &in, tcp_socket socket, http_reader::side reads)
+    channel(loop &in, tcp_socket socket, http_reader::message_kind reads)
         : loop_(in), socket_(std::move(socket)), side_(reads) {}
     ~channel();
 
@@ -48,7 +48,7 @@
 
     loop &loop_;
     tcp_socket socket_;
-    const http_reader::side side_;
+    const http_reader::message_kind side_;
     std::unique_ptr<char[]> buffer_;
     std::unique_ptr<http_reader> reader_;
     std::string out_;
--- a/src/lab/processes/fleet_ports.cpp
+++ b/src/lab/processes/fleet_ports.cpp
@@ -360,12 +360,12 @@
     for (const auto &each : given.use_cases)
         uses.push_back({{"name", each.name},
                         {"effect", effects[static_cast<std::size_t>(each.decides.effect)]},
-                        {"group", groups[static_cast<std::size_t>(each.decides.group)]},
-                        {"windowMs", each.decides.window * 1000},
-                        {"sloTimeMs", each.decides.slo_time * 1000},
+                        {"group", groups[static_cast<std::size_t>(each.decides.scope)]},
+                        {"windowMs", each.decides.deduplication_window * 1000},
+                        {"sloTimeMs", each.decides.latency_objective * 1000},
                         {"statementTimeoutMs", each.statement_timeout * 1000},
-                        {"importance", each.decides.importance},
-                        {"tardyImportance", each.decides.tardy}});
+                        {"importance", each.decides.priority_weight},
+                        {"tardyImportance", each.decides.late_value_share}});
     for (const auto &each : given.tenants)
         tenants.push_back({{"name", each.name}, {"quotaRps", each.quota_rps}});
     std::ostringstream hexadecimal;
@@ -395,8 +395,8 @@
             {"dialTimeoutMs", given.network.dial_limit * 1000},
             {"connIdleMs", given.fleet.idle * 1000}}},
           {"rules",
-           {{"startCapacity", given.cold.decides.start_capacity},
-            {"coldMs", given.cold.decides.warm_time * 1000},
+           {{"startCapacity", given.cold.decides.initial_capacity_share},
+            {"coldMs", given.cold.decides.warm_up_time * 1000},
             {"drainGraceMs", given.list.drain_grace * 1000},
             {"mustAskInMs", 10000}}},
           {"fees",
@@ -420,7 +420,8 @@
             {"revision", old ? 0 : stage_.list.revision()}, {"complete", true}, {"members", members}};
     }
     if (given.proxies.shared_list)
-        made["startup"] = {{"list_service", "shared"}, {"lists_per_s", list_terms(given).lists_a_s}};
+        made["startup"] = {{"list_service", "shared"},
+                           {"lists_per_s", list_terms(given).snapshots_per_second}};
     if (given.proxies.snapshots)
         made["startup"]["snapshot"] = folder_ + "/p" + std::to_string(proxy) + ".list";
     if (given.fleet.aside)
--- a/src/lab/processes/list_port.cpp
+++ b/src/lab/processes/list_port.cpp
@@ -24,7 +24,8 @@
 void list_port::accept() {
     address peer;
     for (tcp_socket one; (one = accept_on(listening_, peer));) {
-        const auto made = std::make_shared<channel>(loop_, std::move(one), http_reader::side::request);
+        const auto made =
+            std::make_shared<channel>(loop_, std::move(one), http_reader::message_kind::request);
         made->tag = next_++;
         made->on_message = [this](const auto &on, const http_reader &asked) { message(on, asked); };
         made->on_end = [this](const auto &on, channel::ending) {
--- a/src/lab/processes/part.cpp
+++ b/src/lab/processes/part.cpp
@@ -313,7 +313,7 @@
             return fleet_->wrote(what.key);
         case part_message::kind::load:
         case part_message::kind::publish:
-            list_->load({what.a, static_cast<listing>(what.small), what.x, what.number});
+            list_->load({what.a, static_cast<endpoint_state>(what.small), what.x, what.number});
             if (what.is == part_message::kind::publish)
                 service_->changed();
             return;
--- a/src/lab/processes/plant_proxy.cpp
+++ b/src/lab/processes/plant_proxy.cpp
@@ -64,7 +64,8 @@
 
     link connect(const address &to, std::function<void(const http_reader &)> came,
                  std::function<void(bool reached)> failed) {
-        const auto made = std::make_shared<channel>(loop_, dial_soon(to), http_reader::side::answer);
+        const auto made =
+            std::make_shared<channel>(loop_, dial_soon(to), http_reader::message_kind::response);
         made->tag = next_++;
         open_[made->tag] = made;
         made->on_message = [this, came](const link &on, const http_reader &answer) {
@@ -128,7 +129,8 @@
     void accept() {
         address peer;
         for (tcp_socket one; (one = accept_on(listening_, peer));) {
-            const auto made = std::make_shared<channel>(loop_, std::move(one), http_reader::side::request);
+            const auto made =
+                std::make_shared<channel>(loop_, std::move(one), http_reader::message_kind::request);
             made->tag = next_++;
             open_[made->tag] = made;
             made->on_message = [this](const link &on, const http_reader &asked) { take(on, asked); };
@@ -142,13 +144,13 @@
         if (head.target == "/_health")
             return on->send(text_answer(servers_.empty() ? 503 : 200, {}, {}));
         query what;
-        what.id = head.value("X-Request-Id");
-        what.end = loop_.clock.now() + deadline_seconds(head.value("X-Deadline"));
-        what.once = once_.contains(std::string(head.value("X-Class")));
+        what.id = head.header("X-Request-Id");
+        what.end = loop_.clock.now() + parse_timeout(head.header("X-Deadline"));
+        what.once = once_.contains(std::string(head.header("X-Class")));
         what.text.append(head.method).append(" ").append(head.target).append(" HTTP/1.1\r\nHost: lab\r\n");
         for (const auto &each : head.fields)
-            if (!is_hop_field(head, each.name) && !same_name(each.name, "Host") &&
-                !same_name(each.name, "Content-Length"))
+            if (!is_hop_by_hop(head, each.name) && !equals_ignoring_case(each.name, "Host") &&
+                !equals_ignoring_case(each.name, "Content-Length"))
                 what.text.append(each.name).append(": ").append(each.value).append("\r\n");
         if (!asked.body().empty())
             what.text.append("Content-Length: ").append(std::to_string(asked.body().size())).append("\r\n");
--- a/src/lab/processes/server_port.cpp
+++ b/src/lab/processes/server_port.cpp
@@ -99,7 +99,8 @@
     loop_.change(listening_.get(), EPOLLIN);
     address peer;
     for (tcp_socket one; (one = accept_on(listening_, peer));) {
-        const auto made = std::make_shared<channel>(loop_, std::move(one), http_reader::side::request);
+        const auto made =
+            std::make_shared<channel>(loop_, std::move(one), http_reader::message_kind::request);
         made->tag = next_++;
         made->used = loop_.clock.now();
         made->on_message = [this](const auto &on, const http_reader &asked) { message(on, asked); };
@@ -138,13 +139,13 @@
         return on->send(text_answer(200, {}, {}));
     }
     const std::string_view path = head.target.substr(1, head.target.find('?') - 1);
-    std::string_view name = head.value("X-Class");
+    std::string_view name = head.header("X-Class");
     if (name.empty())
         name = path.substr(0, path.find('/'));
     const auto &uses = fleet_.given.use_cases;
     const auto use =
         std::find_if(uses.begin(), uses.end(), [&](const use_case_spec &each) { return each.name == name; });
-    const std::string id(head.value("X-Request-Id"));
+    const std::string id(head.header("X-Request-Id"));
     if (id.empty() || use == uses.end())
         return on->send(text_answer(id.empty() ? 404 : 400, {}, {}));
     const auto slash = path.rfind('/');
--- a/src/lab/program/fleet_shell.cpp
+++ b/src/lab/program/fleet_shell.cpp
@@ -46,7 +46,7 @@
         index number = 0;
         if (!server(number))
             return word + ": needs " + numbers;
-        all.list.happened(number, word == "leave" ? listing::draining : listing::ready,
+        all.list.happened(number, word == "leave" ? endpoint_state::draining : endpoint_state::ready,
                           all.servers.at(number).started());
         return "done";
     }
--- a/src/lab/program/main.cpp
+++ b/src/lab/program/main.cpp
@@ -44,7 +44,7 @@
 
 // Where variants are compared, a baseline may break rules: that is told, and is no fault of the first
 // variant.
-int verdict(const std::vector<run_result> &runs, bool of_first) {
+int request_result(const std::vector<run_result> &runs, bool of_first) {
     int code = well;
     for (const auto &each : runs)
         if (of_first && each.variant != runs[0].variant)
@@ -139,7 +139,7 @@
     }
     if (compares || all.size() > 1)
         print(std::cout, compare(all));
-    return verdict(all, compares);
+    return request_result(all, compares);
 }
 
 int be_proxy(const std::string &by, const std::string &configuration) {
@@ -201,7 +201,7 @@
               << of.cpu_us << " us a query, generator " << of.own_cpu_us << " us a query; resident "
               << of.resident_kb << " kB, descriptors " << of.descriptors << '\n';
     print(std::cout, of.run, true);
-    return verdict({of.run}, false);
+    return request_result({of.run}, false);
 }
 
 } // namespace
--- a/src/lab/program/subset_table.cpp
+++ b/src/lab/program/subset_table.cpp
@@ -3,8 +3,8 @@
 
 #include "lab/load/clients.hpp"
 #include "lab/world/ids.hpp"
-#include "subsets/census.hpp"
-#include "subsets/order.hpp"
+#include "subsets/coverage_report.hpp"
+#include "subsets/endpoint_ranking.hpp"
 
 #include <algorithm>
 #include <iomanip>
@@ -16,17 +16,17 @@
 
 constexpr double answers = 4; // mean works of a query that its answer takes; for what is in flight
 
-using subsets::census;
-using subsets::census_proxy;
-using subsets::census_server;
+using subsets::coverage_report;
+using subsets::coverage_proxy;
+using subsets::coverage_endpoint;
 
 struct change {
     const char *name;
     std::size_t moved = 0;
 };
 
-std::vector<census_server> servers_of(const experiment &given, index count) {
-    std::vector<census_server> made;
+std::vector<coverage_endpoint> servers_of(const experiment &given, index count) {
+    std::vector<coverage_endpoint> made;
     for (index i = 0; i < count; ++i)
         made.push_back({server_id(i), 1, zone_of(given, i)});
     return made;
@@ -40,7 +40,7 @@
 }
 
 // The busiest server over its fair share first, by lines.
-void draw(std::ostream &to, const experiment &given, const census &of) {
+void draw(std::ostream &to, const experiment &given, const coverage_report &of) {
     constexpr double wide = 860, high = 220, edge = 40;
     const auto bars = [&](const auto &values, double top, const std::string &name) {
         const double most = std::max(1e-9, static_cast<double>(*std::ranges::max_element(values)));
@@ -56,17 +56,17 @@
     to << std::fixed << std::setprecision(2) << "<svg xmlns='http://www.w3.org/2000/svg' width='" << wide
        << "' height='" << 3 * high + 60 << "' font-family='sans-serif'>\n<text x='" << edge
        << "' y='24' font-size='16' font-weight='bold'>Subsets of " << given.name << ", by server</text>\n";
-    bars(of.over_fair, 40, "load over its fair share");
-    bars(of.proxies, 40 + high, "proxies that use it");
-    bars(of.connections, 40 + 2 * high, "connections");
+    bars(of.relative_load, 40, "load over its fair share");
+    bars(of.proxies_per_endpoint, 40 + high, "proxies that use it");
+    bars(of.idle_connections, 40 + 2 * high, "connections");
     to << "</svg>\n";
 }
 
 } // namespace
 
 void tell_subsets(const experiment &given, const subset_options &how, std::ostream &to, std::ostream *plot) {
-    const subsets::prices prices{given.prices.handshake, given.prices.origin,
-                                 given.fleet.idle * kept_idle_share};
+    const subsets::subset_costs prices{given.prices.handshake, given.prices.origin,
+                                       given.fleet.idle * idle_reuse_share};
     const index servers = given.fleet.servers, count = given.proxies.count;
     auto parts = parts_of_load(given);
     parts.resize(count, 1);
@@ -74,12 +74,12 @@
     double work = 0;
     for (const auto &each : given.use_cases)
         work += each.share * each.work;
-    std::vector<census_proxy> proxies;
+    std::vector<coverage_proxy> proxies;
     for (index me = 0; me <= count; ++me) {
         const double own = rate / count * (me < count ? parts[me] : 1);
-        const subsets::traffic seen{own, own * work * answers, how.fetched, how.loss, 0};
+        const subsets::traffic_sample seen{own, own * work * answers, how.fetched, how.loss, 0};
         const index level = how.level >= 0 ? static_cast<index>(how.level)
-                            : subsets::never_gains(settings_for(given, me))
+                            : subsets::subsetting_never_helps(settings_for(given, me))
                                 ? 0
                                 : subsets::best_level(prices, seen, servers, count, 0);
         proxies.push_back({me, own, level});
@@ -87,21 +87,21 @@
     const auto one_more = proxies;
     proxies.pop_back();
     const auto all = servers_of(given, servers + std::max<index>(1, servers / 10));
-    const std::vector<census_server> now(all.begin(), all.begin() + servers),
+    const std::vector<coverage_endpoint> now(all.begin(), all.begin() + servers),
         plus(all.begin(), all.begin() + servers + 1), less(now.begin(), now.end() - (servers > 1 ? 1 : 0)),
         tenth(all.begin() + servers / 10, all.end());
-    const census found = subsets::take_census(proxies, now, prices);
+    const coverage_report found = subsets::compute_coverage(proxies, now, prices);
     auto full = proxies;
     for (auto &each : full)
         each.level = 0;
-    const census mesh = subsets::take_census(full, now, prices);
-    const auto had = preferences(found.widths);
+    const coverage_report mesh = subsets::compute_coverage(full, now, prices);
+    const auto had = preferences(found.subset_sizes);
     const std::vector<change> changes = {
-        {"one server more", subsets::moved(proxies, now, proxies, plus)},
-        {"one server less", subsets::moved(proxies, now, proxies, less)},
-        {"a tenth of the servers replaced", subsets::moved(proxies, now, proxies, tenth)},
-        {"one proxy more", subsets::moved(proxies, now, one_more, now)}};
-    std::vector<index> levels(subsets::most_level + 1);
+        {"one server more", subsets::count_new_assignments(proxies, now, proxies, plus)},
+        {"one server less", subsets::count_new_assignments(proxies, now, proxies, less)},
+        {"a tenth of the servers replaced", subsets::count_new_assignments(proxies, now, proxies, tenth)},
+        {"one proxy more", subsets::count_new_assignments(proxies, now, one_more, now)}};
+    std::vector<index> levels(subsets::max_subset_level + 1);
     for (const auto &each : proxies)
         ++levels[each.level];
     const auto most = [](const auto &values) { return *std::ranges::max_element(values); };
@@ -110,23 +110,25 @@
         draw(*plot, given, found);
     if (how.as_json) {
         nlohmann::json made = {{"experiment", given.name},
-                               {"dials_an_execution", found.dials},
-                               {"dials_without", mesh.dials},
+                               {"dials_an_execution", found.new_connections_per_attempt},
+                               {"dials_without", mesh.new_connections_per_attempt},
                                {"levels", levels},
-                               {"widths", found.widths}};
+                               {"widths", found.subset_sizes}};
         for (index i = 0; i < servers; ++i)
             made["servers"].push_back({{"id", now[i].id},
-                                       {"proxies", found.proxies[i]},
-                                       {"over_fair", found.over_fair[i]},
-                                       {"connections", found.connections[i]}});
+                                       {"proxies", found.proxies_per_endpoint[i]},
+                                       {"over_fair", found.relative_load[i]},
+                                       {"connections", found.idle_connections[i]}});
         for (const auto &each : changes)
             made["moved"][each.name] = each.moved;
         for (const auto &each : proxies) {
             std::vector<std::string> names;
-            for (const index id : subsets::uses(each, now))
+            for (const index id : subsets::selected_endpoints(each, now))
                 names.push_back(now[id].id);
-            made["proxies"].push_back(
-                {{"me", each.me}, {"rate", each.rate}, {"level", each.level}, {"uses", names}});
+            made["proxies"].push_back({{"me", each.proxy_index},
+                                       {"rate", each.attempt_rate},
+                                       {"level", each.level},
+                                       {"uses", names}});
         }
         to << made.dump(2) << '\n';
         return;
@@ -138,13 +140,15 @@
             to << std::setw(5) << level << std::setw(9) << levels[level] << std::setw(10)
                << (servers >> level) << '\n';
     to << "\nby server                    least     most\nproxies that use it " << std::setw(14)
-       << least(found.proxies) << std::setw(9) << most(found.proxies) << "\nload over its fair share"
-       << std::setw(10) << least(found.over_fair) << std::setw(9) << most(found.over_fair)
-       << "\nconnections             " << std::setw(10) << least(found.connections) << std::setw(9)
-       << most(found.connections) << "\nconnections without them" << std::setw(10) << least(mesh.connections)
-       << std::setw(9) << most(mesh.connections)
-       << "\n\nnew connections an execution, by the model: " << found.dials << "; without subsets "
-       << mesh.dials << "\n\na change                          preferences "
+       << least(found.proxies_per_endpoint) << std::setw(9) << most(found.proxies_per_endpoint)
+       << "\nload over its fair share" << std::setw(10) << least(found.relative_load) << std::setw(9)
+       << most(found.relative_load) << "\nconnections             " << std::setw(10)
+       << least(found.idle_connections) << std::setw(9) << most(found.idle_connections)
+       << "\nconnections without them" << std::setw(10) << least(mesh.idle_connections) << std::setw(9)
+       << most(mesh.idle_connections)
+       << "\n\nnew connections an execution, by the model: " << found.new_connections_per_attempt
+       << "; without subsets " << mesh.new_connections_per_attempt
+       << "\n\na change                          preferences "
        << "that are new, of " << had << '\n';
     for (const auto &each : changes)
         to << std::left << std::setw(34) << each.name << std::right << each.moved << '\n';
--- a/src/lab/runs/deciders.cpp
+++ b/src/lab/runs/deciders.cpp
@@ -2,7 +2,7 @@
 #include "lab/runs/deciders.hpp"
 
 #include "lab/world/chance.hpp"
-#include "subsets/chooser.hpp"
+#include "subsets/subset_router.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -19,25 +19,26 @@
 
 class baseline final : public router {
 public:
-    baseline(decider by, const settings &given, std::uint32_t seed, double now)
+    baseline(decider by, const router_settings &given, std::uint32_t seed, double now)
         : by_(by), given_(given), chance_(seed), ask_at_(now) {
         wake(now);
     }
 
-    void listed(double now, list_kind kind, std::span<const list_entry> entries) override {
-        if (kind == list_kind::lost) {
+    void on_endpoints_updated(double now, endpoint_update_kind kind,
+                              std::span<const endpoint_info> entries) override {
+        if (kind == endpoint_update_kind::poll_failed) {
             ask_at_ = now + ask_gap;
             return;
         }
-        if (kind != list_kind::cached && kind != list_kind::own)
+        if (kind != endpoint_update_kind::cached_snapshot && kind != endpoint_update_kind::local)
             ask_at_ = 1e18;
-        if (is_whole(kind))
+        if (is_snapshot(kind))
             for (auto &each : servers_)
-                each.state = listing::gone;
+                each.state = endpoint_state::removed;
         for (const auto &each : entries) {
-            if (each.server >= servers_.size())
-                servers_.resize(each.server + 1);
-            auto &to = servers_[each.server];
+            if (each.endpoint >= servers_.size())
+                servers_.resize(each.endpoint + 1);
+            auto &to = servers_[each.endpoint];
             to.id = each.id;
             to.state = each.state;
             to.cell = each.cell;
@@ -48,7 +49,7 @@
         ring_.clear();
         origin_ = none;
         for (index i = 0; i < servers_.size(); ++i) {
-            if (servers_[i].state != listing::ready)
+            if (servers_[i].state != endpoint_state::ready)
                 continue;
             if (servers_[i].is_origin) {
                 origin_ = i;
@@ -61,48 +62,48 @@
         std::sort(ring_.begin(), ring_.end());
     }
 
-    void arrived(double now, const new_query &from) override {
-        if (from.query >= queries_.size())
-            queries_.resize(from.query + 1);
-        auto &qry = queries_[from.query];
+    void on_request(double now, const request_info &from) override {
+        if (from.request >= queries_.size())
+            queries_.resize(from.request + 1);
+        auto &qry = queries_[from.request];
         const auto generation = qry.generation + 1;
         qry = {};
         qry.generation = generation;
         qry.is = from;
         qry.live = true;
-        qry.to_origin = from.write && given_.origin_kind != none;
-        due_.push({from.statement_end - margin, from.query, generation});
-        place(now, from.query);
+        qry.to_origin = from.is_write && given_.origin_kind != none;
+        due_.push({from.deadline - margin, from.request, generation});
+        place(now, from.request);
     }
 
-    void ended(double now, index id, index number, outcome result, bool over, bool,
-               const load_report &) override {
+    void on_attempt_finished(double now, index id, index number, outcome result, bool over, bool,
+                             const load_report &) override {
         auto &qry = queries_[id];
         if (!qry.live || number >= qry.sent || !qry.out)
             return;
         qry.out = false;
         --servers_[qry.last].in_flight;
         --in_flight_;
-        qry.doubt = qry.doubt || !never_ran(result);
+        qry.doubt = qry.doubt || !known_not_executed(result);
         if (over || qry.answered)
             return release(id);
-        if (result == outcome::miss && origin_ != none && !qry.to_origin)
+        if (result == outcome::cache_miss && origin_ != none && !qry.to_origin)
             qry.to_origin = true;
-        else if (!never_ran(result))
+        else if (!known_not_executed(result))
             return finish(id);
         place(now, id);
     }
-    void begun(double, index, bool) override {}
-    void left(double, index id) override {
+    void on_response_started(double, index, bool) override {}
+    void on_client_disconnected(double, index id) override {
         queries_[id].answered = true;
         if (!queries_[id].out)
             release(id);
     }
-    void probed(double, index, bool, const load_report &) override {}
-    void woken(double now) override {
+    void on_health_check_finished(double, index, bool, const load_report &) override {}
+    void on_timer(double now) override {
         wake(now);
         if (now >= ask_at_) {
-            actions.push_back({action_kind::subscribe});
+            actions.push_back({action_kind::watch_endpoints});
             ask_at_ = now + 4 * ask_gap;
         }
         while (!due_.empty() && due_.top().at <= now) {
@@ -117,12 +118,12 @@
 private:
     struct server {
         std::string id;
-        listing state = listing::gone;
+        endpoint_state state = endpoint_state::removed;
         index cell = none, zone = none, in_flight = 0;
         bool is_origin = false;
     };
     struct query {
-        new_query is;
+        request_info is;
         bool live = false, out = false, doubt = false, answered = false, to_origin = false;
         index sent = 0, last = none, generation = 0;
         std::vector<index> tried;
@@ -133,12 +134,12 @@
         bool operator<(const due &that) const { return at > that.at; }
     };
 
-    void wake(double now) { actions.push_back({action_kind::wake, none, none, 0, now + sweep}); }
+    void wake(double now) { actions.push_back({action_kind::set_timer, none, none, 0, now + sweep}); }
 
     void place(double now, index id) {
         auto &qry = queries_[id];
         index to = qry.to_origin ? origin_ : choose(qry);
-        const bool may = qry.sent < given_.allow.max_executions && now < qry.is.statement_end - margin;
+        const bool may = qry.sent < given_.constraints.max_attempts && now < qry.is.deadline - margin;
         if (!may || to == none)
             return finish(id);
         qry.out = true;
@@ -147,7 +148,7 @@
         qry.tried.push_back(to);
         ++servers_[to].in_flight;
         ++in_flight_;
-        actions.push_back({action_kind::send, id, to, 0, 0});
+        actions.push_back({action_kind::start_attempt, id, to, 0, 0});
     }
 
     index choose(const query &qry) {
@@ -197,8 +198,8 @@
     void finish(index id) {
         auto &qry = queries_[id];
         const bool rejects = !qry.out && !qry.doubt;
-        actions.push_back({rejects ? action_kind::reject : action_kind::abort, id, none, 0,
-                           rejects ? given_.allow.max_advice : 0});
+        actions.push_back({rejects ? action_kind::reject_request : action_kind::fail_request, id, none, 0,
+                           rejects ? given_.constraints.max_retry_after : 0});
         qry.answered = true;
         if (!qry.out)
             release(id);
@@ -206,11 +207,11 @@
 
     void release(index id) {
         queries_[id].live = false;
-        actions.push_back({action_kind::release, id, none, 0, 0});
+        actions.push_back({action_kind::release_request, id, none, 0, 0});
     }
 
     const decider by_;
-    const settings given_;
+    const router_settings given_;
     chance chance_;
     double ask_at_;
     std::vector<server> servers_;
@@ -224,9 +225,10 @@
 
 } // namespace
 
-std::unique_ptr<router> make_decider(decider by, const settings &given, std::uint32_t seed, double now) {
+std::unique_ptr<router> make_decider(decider by, const router_settings &given, std::uint32_t seed,
+                                     double now) {
     if (by == decider::module)
-        return subsets::make_chooser(given, seed, now);
+        return subsets::make_subset_router(given, seed, now);
     if (by == decider::whole_list)
         return make_router(given, seed, now);
     return std::make_unique<baseline>(by, given, seed, now);
@@ -235,15 +237,15 @@
 decider_maker maker_of(decider by) {
     switch (by) {
     case decider::random:
-        return [](const settings &given, std::uint32_t seed, double now) {
+        return [](const router_settings &given, std::uint32_t seed, double now) {
             return make_decider(decider::random, given, seed, now);
         };
     case decider::least_of_two:
-        return [](const settings &given, std::uint32_t seed, double now) {
+        return [](const router_settings &given, std::uint32_t seed, double now) {
             return make_decider(decider::least_of_two, given, seed, now);
         };
     case decider::plain_ring:
-        return [](const settings &given, std::uint32_t seed, double now) {
+        return [](const router_settings &given, std::uint32_t seed, double now) {
             return make_decider(decider::plain_ring, given, seed, now);
         };
     case decider::whole_list:
@@ -251,7 +253,7 @@
     case decider::module:
         break;
     }
-    return subsets::make_chooser;
+    return subsets::make_subset_router;
 }
 
 decider_maker maker_of(const std::string &name) {
--- a/src/lab/runs/deciders.hpp
+++ b/src/lab/runs/deciders.hpp
@@ -18,10 +18,12 @@
 namespace harrierpass::lab {
 
 // The same as a plain function, as the proxy takes it; throws bad_experiment for a name that is none.
-using decider_maker = std::unique_ptr<router> (*)(const settings &given, std::uint32_t seed, double now);
+using decider_maker = std::unique_ptr<router> (*)(const router_settings &given, std::uint32_t seed,
+                                                  double now);
 decider_maker maker_of(decider by);
 decider_maker maker_of(const std::string &name);
 
-std::unique_ptr<router> make_decider(decider by, const settings &given, std::uint32_t seed, double now);
+std::unique_ptr<router> make_decider(decider by, const router_settings &given, std::uint32_t seed,
+                                     double now);
 
 } // namespace harrierpass::lab
--- a/src/lab/runs/socket_run.cpp
+++ b/src/lab/runs/socket_run.cpp
@@ -6,8 +6,8 @@
 #include "lab/processes/process.hpp"
 #include "lab/runs/deciders.hpp"
 #include "net/threads.hpp"
+#include "proxy/operations/stop_schedule.hpp"
 #include "proxy/service.hpp"
-#include "proxy/stop_schedule.hpp"
 
 #include <algorithm>
 #include <csignal>
@@ -206,7 +206,7 @@
     static void judge_lateness(run_result &of, const experiment &given) {
         double shortest = 1e9;
         for (const auto &each : given.use_cases)
-            shortest = std::min(shortest, each.decides.slo_time);
+            shortest = std::min(shortest, each.decides.latency_objective);
         const double most = std::max(least_late, late_share * shortest);
         const bool pauses = std::any_of(given.faults.begin(), given.faults.end(), [](const fault_spec &each) {
             return each.kind == fault_kind::client_pause; // late on purpose
@@ -264,7 +264,7 @@
             text << in.rdbuf();
             here.log = std::make_unique<std::ofstream>(path + ".log", std::ios::app);
             here.service = std::make_unique<proxy::service>(proxy::read_configuration(text.str()), *here.log,
-                                                            level::warning, maker_of(as_.by));
+                                                            log_level::warning, maker_of(as_.by));
             here.at = here.service->at();
             return look(number);
         }
@@ -315,7 +315,8 @@
         auto &here = proxies_[number];
         if (!here.at || here.killed > 0)
             return;
-        const auto on = std::make_shared<channel>(loop_, dial_soon(*here.at), http_reader::side::answer);
+        const auto on =
+            std::make_shared<channel>(loop_, dial_soon(*here.at), http_reader::message_kind::response);
         looks_[number] = on;
         if (!on->open())
             return;
@@ -399,7 +400,8 @@
         };
         if (!here.at || !here.ready || here.leaves)
             return again();
-        const auto on = std::make_shared<channel>(loop_, dial_soon(*here.at), http_reader::side::answer);
+        const auto on =
+            std::make_shared<channel>(loop_, dial_soon(*here.at), http_reader::message_kind::response);
         idle_[{number, which}] = on;
         if (!on->open())
             return again();
@@ -484,7 +486,8 @@
         port.place(i, at);
         std::size_t heard = 0;
         for (index j = 0; j < how.idle; ++j) {
-            const auto on = std::make_shared<channel>(in, dial_soon(*at), http_reader::side::answer);
+            const auto on =
+                std::make_shared<channel>(in, dial_soon(*at), http_reader::message_kind::response);
             if (!on->open())
                 throw bad_experiment("no descriptors for so many connections at rest");
             on->on_message = [&heard](const auto &, const http_reader &) { ++heard; };
--- a/src/lab/runs/stage.cpp
+++ b/src/lab/runs/stage.cpp
@@ -163,25 +163,25 @@
         model(fault, server, begins);
     switch (fault.kind) {
     case fault_kind::join:
-        return list.happened(server, listing::ready, of.started());
+        return list.happened(server, endpoint_state::ready, of.started());
     case fault_kind::crash:
     case fault_kind::host_kill:
         if (begins) {
             if (on_broken && !of.silent())
                 on_broken(server);
             notice(server);
-        } else if (of.up() && list.truth(server).state != listing::draining) {
-            list.happened(server, listing::ready, of.started());
+        } else if (of.up() && list.truth(server).state != endpoint_state::draining) {
+            list.happened(server, endpoint_state::ready, of.started());
         }
         return;
     case fault_kind::drain:
-        list.happened(server, listing::draining, of.started());
+        list.happened(server, endpoint_state::draining, of.started());
         // A server that drains finishes what it has; later it is gone.
         clock.after(given.list.drain_grace + 4 * given.list.lag,
                     [this, &fault, server] { model(fault, server, true); });
         if (fault.lasts > 0)
             clock.after(fault.lasts, [this, server, &of] {
-                list.happened(server, listing::gone, of.started());
+                list.happened(server, endpoint_state::removed, of.started());
                 fault_spec gone;
                 gone.kind = fault_kind::crash;
                 model(gone, server, true);
@@ -208,16 +208,17 @@
 void stage::notice(index server) {
     clock.after(given.list.notice, [this, server] {
         if (!servers.at(server).up())
-            list.happened(server, listing::gone, list.truth(server).started);
+            list.happened(server, endpoint_state::removed, list.truth(server).started);
     });
 }
 
 void stage::flap(const fault_spec &fault, index server, double until) {
-    const bool here = list.truth(server).state == listing::ready;
+    const bool here = list.truth(server).state == endpoint_state::ready;
     const bool ends = clock.now() >= until;
     if (ends && here)
         return;
-    list.happened(server, here ? listing::gone : listing::ready, servers.at(server).started());
+    list.happened(server, here ? endpoint_state::removed : endpoint_state::ready,
+                  servers.at(server).started());
     if (!ends)
         clock.after(flap_period, [this, &fault, server, until] { flap(fault, server, until); });
 }
--- a/src/lab/runs/virtual_proxy.cpp
+++ b/src/lab/runs/virtual_proxy.cpp
@@ -54,7 +54,7 @@
     watching_ = ends_ = false;
     revision_ = 0;
     calls_.reset();
-    listed_.assign(servers_.size() + 1, listing::gone);
+    listed_.assign(servers_.size() + 1, endpoint_state::removed);
     know();
     if (given_.proxies.shared_list) {
         const bool knows = given_.proxies.known != known_list::none;
@@ -100,7 +100,7 @@
         const connection one = idle.back();
         idle.pop_back();
         const bool same = server >= servers_.size() || one.life == servers_.at(server).life();
-        if (same && clock_.now() - one.used <= given_.fleet.idle * kept_idle_share) {
+        if (same && clock_.now() - one.used <= given_.fleet.idle * idle_reuse_share) {
             cut = one.cut;
             return true;
         }
@@ -118,7 +118,7 @@
 void virtual_proxy::sweep() {
     for (index i = 0; i < idle_.size(); ++i)
         std::erase_if(idle_[i], [&](const connection &each) {
-            const bool old = clock_.now() - each.used > given_.fleet.idle * kept_idle_share;
+            const bool old = clock_.now() - each.used > given_.fleet.idle * idle_reuse_share;
             if (old)
                 figures_.closed(i);
             return old;
@@ -230,14 +230,14 @@
         of.is = query;
         of.live = true;
         of.serial = ++serial_;
-        new_query made;
-        made.query = at;
-        made.use_case = query.use_case;
+        request_info made;
+        made.request = at;
+        made.class_id = query.use_case;
         made.tenant = query.tenant;
         made.has_key = query.keyed;
-        made.write = query.write;
+        made.is_write = query.write;
         made.key = query.key;
-        made.statement_end = query.end;
+        made.deadline = query.end;
         clock_.at(query.end + own_margin, [this, life = life_, at, serial = of.serial] {
             if (life == life_)
                 event([this, life, at, serial] {
@@ -245,7 +245,7 @@
                         time_up(at, serial);
                 });
         });
-        router_->arrived(clock_.now(), made);
+        router_->on_request(clock_.now(), made);
         obey();
     });
 }
@@ -264,10 +264,10 @@
     end_out(of);
     if (was_out) {
         ++counts_.timed_out;
-        router_->left(clock_.now(), query);
-        router_->ended(clock_.now(), query, of.sent - 1, outcome::canceled, true, false);
+        router_->on_client_disconnected(clock_.now(), query);
+        router_->on_attempt_finished(clock_.now(), query, of.sent - 1, outcome::canceled, true, false);
     } else {
-        router_->left(clock_.now(), query);
+        router_->on_client_disconnected(clock_.now(), query);
     }
     obey();
 }
@@ -278,7 +278,7 @@
             if (auto &of = held_[i]; of.live && of.is.op == op && of.is.attempt == attempt && !of.gone) {
                 of.gone = true;
                 if (!of.answered)
-                    router_->left(clock_.now(), i);
+                    router_->on_client_disconnected(clock_.now(), i);
                 return obey();
             }
     });
@@ -289,48 +289,48 @@
     for (std::size_t i = 0; up() && i < router_->actions.size(); ++i) {
         const action act = router_->actions[i];
         switch (act.kind) {
-        case action_kind::send:
-            send(act.query, act.server);
+        case action_kind::start_attempt:
+            send(act.request, act.endpoint);
             break;
-        case action_kind::cancel:
-            if (auto &of = held_[act.query]; of.out_at != none && of.sent == act.execution + 1) {
+        case action_kind::cancel_attempt:
+            if (auto &of = held_[act.request]; of.out_at != none && of.sent == act.attempt + 1) {
                 ++counts_.called_off;
                 counts_.false_called_off += suspects(of.out_at);
-                const index number = act.execution;
+                const index number = act.attempt;
                 const auto serial = of.serial;
-                clock_.after(0, [this, life = life_, query = act.query, number, serial] {
+                clock_.after(0, [this, life = life_, query = act.request, number, serial] {
                     if (life == life_)
                         come(query, number, serial, outcome::canceled, false);
                 });
             }
             break;
-        case action_kind::reject:
+        case action_kind::reject_request:
             ++counts_.rejected;
-            answer(act.query, reply::rejected, act.time);
+            answer(act.request, reply::rejected, act.time);
             break;
-        case action_kind::abort:
+        case action_kind::fail_request:
             ++counts_.aborted;
-            answer(act.query, reply::aborted, 0);
+            answer(act.request, reply::aborted, 0);
             break;
-        case action_kind::release:
-            released_.push_back(act.query);
+        case action_kind::release_request:
+            released_.push_back(act.request);
             break;
-        case action_kind::probe:
-            probe(act.server);
+        case action_kind::check_health:
+            probe(act.endpoint);
             break;
-        case action_kind::wake:
+        case action_kind::set_timer:
             wake_at_ = act.time;
             clock_.at(act.time, [this, life = life_, at = act.time] {
                 if (life == life_ && at == wake_at_)
                     event([this, life] {
                         if (life != life_)
                             return;
-                        router_->woken(clock_.now());
+                        router_->on_timer(clock_.now());
                         obey();
                     });
             });
             break;
-        case action_kind::subscribe:
+        case action_kind::watch_endpoints:
             subscribe();
             break;
         }
@@ -372,7 +372,7 @@
             const bool cold = servers_.at(i).up() && servers_.at(i).warmth() < 1;
             if (as_.breaks == plant::push_cold
                     ? cold
-                    : list_.all()[i].state == listing::draining && servers_.at(i).up())
+                    : list_.all()[i].state == endpoint_state::draining && servers_.at(i).up())
                 to = i;
         }
     of.out_at = to;
@@ -419,9 +419,9 @@
         case result::kind::completed:
             return back(outcome::completed, fetched);
         case result::kind::queue_full:
-            return back(outcome::queue_full, false);
+            return back(outcome::overloaded, false);
         case result::kind::missed:
-            return back(outcome::miss, false);
+            return back(outcome::cache_miss, false);
         case result::kind::error:
         case result::kind::spoilt:
             return back(outcome::error, false);
@@ -494,15 +494,15 @@
     if (!of.live || of.serial != serial || of.sent != number + 1 || of.out_at == none)
         return;
     const index server = of.out_at;
-    if (result == outcome::miss)
+    if (result == outcome::cache_miss)
         of.missed_at = server;
     if (of.cut && result != outcome::canceled) // half open: nothing comes of it
         return;
-    end_out(of, result == outcome::completed || result == outcome::error || result == outcome::queue_full ||
-                    result == outcome::miss);
+    end_out(of, result == outcome::completed || result == outcome::error || result == outcome::overloaded ||
+                    result == outcome::cache_miss);
     counts_.resets += result == outcome::reset;
     counts_.errors += result == outcome::error;
-    counts_.full += result == outcome::queue_full;
+    counts_.full += result == outcome::overloaded;
     counts_.connect_errors += result == outcome::connect_error;
     const bool completed = result == outcome::completed;
     if (completed && planted(plant::run_twice, plant_every)) {
@@ -519,7 +519,7 @@
         ++counts_.completed;
         answer(query, reply::completed, 0);
     }
-    router_->ended(clock_.now(), query, number, result, completed, fetched);
+    router_->on_attempt_finished(clock_.now(), query, number, result, completed, fetched);
     obey();
 }
 
@@ -535,7 +535,7 @@
         clock_.after(0, [this, life = life_, query, number = of.sent - 1, serial = of.serial] {
             if (life != life_ || !held_[query].live || held_[query].serial != serial)
                 return;
-            router_->ended(clock_.now(), query, number, outcome::canceled, true, false);
+            router_->on_attempt_finished(clock_.now(), query, number, outcome::canceled, true, false);
             obey();
         });
     }
@@ -570,7 +570,7 @@
             if (life != life_)
                 return;
             counts_.probes_failed += !answered;
-            router_->probed(clock_.now(), server, answered);
+            router_->on_health_check_finished(clock_.now(), server, answered);
             obey();
         });
     };
@@ -589,28 +589,28 @@
 void virtual_proxy::know() {
     if (given_.proxies.known == known_list::none)
         return;
-    tell(list_kind::cached, list_.known_by(given_, number_));
+    tell(endpoint_update_kind::cached_snapshot, list_.known_by(given_, number_));
     revision_ = knows_old(given_, number_) ? 0 : list_.revision();
 }
 
 void virtual_proxy::plan_call() {
-    const double due = calls_->due();
+    const double due = calls_->next_poll_at();
     clock_.at(std::max(due, clock_.now()), [this, life = life_, due] {
         if (life == life_)
             event([this, life, due] {
-                if (life == life_ && !list_out_ && calls_->due() == due)
+                if (life == life_ && !list_out_ && calls_->next_poll_at() == due)
                     call_list();
             });
     });
 }
 
-startup::list_facts virtual_proxy::facts_of(const list_answer &with) const {
-    startup::list_facts made{with.whole, with.revision, calls_->revision(), 0, 0, 0};
-    for (const listing each : listed_)
-        made.known += each != listing::gone;
+discovery::snapshot_facts virtual_proxy::facts_of(const list_answer &with) const {
+    discovery::snapshot_facts made{with.whole, with.revision, calls_->revision(), 0, 0, 0};
+    for (const endpoint_state each : listed_)
+        made.known_endpoints += each != endpoint_state::removed;
     for (const auto &each : with.members) {
-        made.named += each.state != listing::gone;
-        made.common += listed_[each.server] != listing::gone;
+        made.named_endpoints += each.state != endpoint_state::removed;
+        made.common_endpoints += listed_[each.server] != endpoint_state::removed;
     }
     return made;
 }
@@ -619,7 +619,7 @@
     if (calls_)
         return;
     watching_ = false;
-    if (given_.list.form == list_form::central) {
+    if (given_.list.form == list_service_kind::central) {
         if (list_out_) // one call at a time, as the catalog has it
             return;
         revision_ = 0;
@@ -634,7 +634,7 @@
                 if (life == life_)
                     event([this, life] {
                         if (life == life_)
-                            tell(list_kind::lost, {});
+                            tell(endpoint_update_kind::poll_failed, {});
                     });
             });
         event([this, life] {
@@ -643,12 +643,12 @@
             watching_ = true;
             std::vector<membership::member> all;
             for (const auto &each : list_.all())
-                if (each.state != listing::gone)
+                if (each.state != endpoint_state::removed)
                     all.push_back(each);
             figures_.called(
                 list_call::whole,
                 static_cast<std::size_t>(answer_bytes + entry_bytes * static_cast<double>(all.size())));
-            tell(list_kind::whole, all);
+            tell(endpoint_update_kind::snapshot, all);
         });
     });
 }
@@ -658,18 +658,18 @@
 void virtual_proxy::call_list() {
     const std::uint64_t call = ++list_call_;
     list_out_ = true;
-    startup::call out;
+    discovery::endpoint_poll out;
     const bool comes_up = links_.comes_up(to_list());
     if (calls_) {
-        out = calls_->begin(clock_.now());
-        out.limit = comes_up ? out.limit : calls_->paced().answer_limit;
+        out = calls_->start_poll(clock_.now());
+        out.timeout = comes_up ? out.timeout : calls_->intervals().response_timeout;
     } else {
-        out.wait = revision_ > 0 ? watch_wait : 0;
-        out.limit = list_patience(given_.list) + out.wait;
+        out.watch_timeout = revision_ > 0 ? watch_wait : 0;
+        out.timeout = list_patience(given_.list) + out.watch_timeout;
         if (revision_ > 0)
-            out.since = revision_;
+            out.watch_revision = revision_;
     }
-    clock_.after(out.limit, [this, life = life_, call] {
+    clock_.after(out.timeout, [this, life = life_, call] {
         if (life == life_ && call == list_call_)
             event([this, life, call] {
                 if (life == life_)
@@ -709,7 +709,7 @@
         to_list(), direction::there, given_.network.one_way, static_cast<std::size_t>(answer_bytes),
         [this, stands, out, answer] {
             if (stands())
-                list_token_ = service_.call(out.since, out.wait, answer);
+                list_token_ = service_.call(out.watch_revision, out.watch_timeout, answer);
         },
         stands);
 }
@@ -723,9 +723,9 @@
     list_out_ = false;
     if (calls_) {
         if (with.refused)
-            calls_->refused(clock_.now(), with.come_back);
-        else if (calls_->came(clock_.now(), facts_of(with)) && (with.whole || !with.members.empty()))
-            tell(with.whole ? list_kind::whole : list_kind::changes, with.members);
+            calls_->on_rejected(clock_.now(), with.come_back);
+        else if (calls_->on_update(clock_.now(), facts_of(with)) && (with.whole || !with.members.empty()))
+            tell(with.whole ? endpoint_update_kind::snapshot : endpoint_update_kind::delta, with.members);
         if (up())
             plan_call();
         return;
@@ -733,7 +733,7 @@
     const std::uint64_t known = list_call_;
     revision_ = with.revision;
     if (with.whole || !with.members.empty())
-        tell(with.whole ? list_kind::whole : list_kind::changes, with.members);
+        tell(with.whole ? endpoint_update_kind::snapshot : endpoint_update_kind::delta, with.members);
     if (up() && known == list_call_ && !list_out_)
         call_list();
 }
@@ -745,14 +745,14 @@
     list_out_ = false;
     service_.drop(list_token_);
     if (calls_) {
-        calls_->lost(clock_.now());
+        calls_->on_failure(clock_.now());
         plan_call();
     }
-    tell(list_kind::lost, {});
+    tell(endpoint_update_kind::poll_failed, {});
 }
 
 void virtual_proxy::list_broken() {
-    if (up() && given_.list.form == list_form::central && (!calls_ || list_out_))
+    if (up() && given_.list.form == list_service_kind::central && (!calls_ || list_out_))
         list_lost(list_call_);
 }
 
@@ -765,7 +765,7 @@
             if (life == life_)
                 event([this, life] {
                     if (life == life_)
-                        tell(list_kind::lost, {});
+                        tell(endpoint_update_kind::poll_failed, {});
                 });
         });
         return;
@@ -774,35 +774,35 @@
         if (life == life_)
             event([this, life, what] {
                 if (life == life_)
-                    tell(list_kind::changes, {what});
+                    tell(endpoint_update_kind::delta, {what});
             });
     });
 }
 
-void virtual_proxy::tell(list_kind kind, const std::vector<membership::member> &members) {
-    std::vector<list_entry> entries;
-    counts_.lists_lost += kind == list_kind::lost;
-    if (kind == list_kind::whole || kind == list_kind::cached)
-        std::fill(listed_.begin(), listed_.end(), listing::gone);
-    if (kind == list_kind::whole) // what a whole list leaves out is gone
+void virtual_proxy::tell(endpoint_update_kind kind, const std::vector<membership::member> &members) {
+    std::vector<endpoint_info> entries;
+    counts_.lists_lost += kind == endpoint_update_kind::poll_failed;
+    if (kind == endpoint_update_kind::snapshot || kind == endpoint_update_kind::cached_snapshot)
+        std::fill(listed_.begin(), listed_.end(), endpoint_state::removed);
+    if (kind == endpoint_update_kind::snapshot) // what a whole list leaves out is gone
         for (const auto &each : list_.all())
-            if (each.state == listing::gone)
-                judge_.told(number_, each.server, listing::gone);
+            if (each.state == endpoint_state::removed)
+                judge_.told(number_, each.server, endpoint_state::removed);
     for (const auto &each : members) {
-        list_entry made;
-        made.server = each.server;
+        endpoint_info made;
+        made.endpoint = each.server;
         made.id = ids_[each.server];
-        made.started = each.started;
+        made.started_at = each.started;
         made.kind = each.server == servers_.size() ? 1 : 0;
         made.zone = zone_of(given_, each.server);
         made.cell = each.server;
         made.state = each.state;
         entries.push_back(made);
         listed_[each.server] = each.state;
-        if (kind != list_kind::cached)
+        if (kind != endpoint_update_kind::cached_snapshot)
             judge_.told(number_, each.server, each.state);
     }
-    router_->listed(clock_.now(), kind, entries);
+    router_->on_endpoints_updated(clock_.now(), kind, entries);
     obey();
 }
 
--- a/src/lab/runs/virtual_proxy.hpp
+++ b/src/lab/runs/virtual_proxy.hpp
@@ -4,10 +4,10 @@
 // in the module, so that the referee can be shown to see them.
 #pragma once
 
+#include "discovery/poll_schedule.hpp"
 #include "lab/links/virtual_links.hpp"
 #include "lab/runs/deciders.hpp"
 #include "lab/runs/stage.hpp"
-#include "startup/calls.hpp"
 
 namespace harrierpass::lab {
 
@@ -33,7 +33,9 @@
     void kill(bool planned = false); // outright, or at a planned end; start() begins it anew
     // Told to end: takes no more, answers what it holds (3 s at most), and is gone then.
     void end(std::function<void()> gone);
-    bool takes() const { return up() && !ends_ && (!calls_ || calls_->at() != startup::state::empty); }
+    bool takes() const {
+        return up() && !ends_ && (!calls_ || calls_->state() != discovery::poll_state::no_endpoints);
+    }
     void start();
     void pause(bool begins);
     bool up() const { return router_ != nullptr; }
@@ -69,7 +71,7 @@
     void wait_end(std::function<void()> gone, double limit);
     void know();      // the list that it starts with
     void plan_call(); // where one list service serves all
-    startup::list_facts facts_of(const list_answer &with) const;
+    discovery::snapshot_facts facts_of(const list_answer &with) const;
     void call_list();
     void list_came(std::uint64_t call, const list_answer &with);
     void list_lost(std::uint64_t call);
@@ -82,7 +84,7 @@
     void answer(index query, reply how, double come_back);
     void probe(index server);
     void subscribe();
-    void tell(list_kind kind, const std::vector<membership::member> &members);
+    void tell(endpoint_update_kind kind, const std::vector<membership::member> &members);
     void time_up(index query, std::uint64_t serial);
     void release(index query);
     double way(index server) const;
@@ -105,8 +107,8 @@
     // A central list service: the call that is out, and the revision that is known (0: none).
     std::uint64_t list_call_ = 0, list_token_ = 0, revision_ = 0;
     bool list_out_ = false;
-    std::optional<startup::list_calls> calls_; // where one list service serves all
-    std::vector<listing> listed_;              // by server, as last told; there alone
+    std::optional<discovery::poll_schedule> calls_; // where one list service serves all
+    std::vector<endpoint_state> listed_;                   // by server, as last told; there alone
     std::unique_ptr<router> router_;
     std::uint64_t life_ = 0, serial_ = 0;
     std::vector<held> held_;
--- a/src/lab/runs/virtual_run.cpp
+++ b/src/lab/runs/virtual_run.cpp
@@ -56,14 +56,14 @@
             proxies[which.near].link_changed(which.far, before, now);
     };
     all.list.on_change = [&](const membership::member &what) {
-        if (given.list.form == list_form::central)
+        if (given.list.form == list_service_kind::central)
             return all.service.changed();
         for (auto &each : proxies)
             each.changed(what);
     };
     all.on_list_stop = [&](bool begins) { all.list.silent(begins); };
     all.on_list_kill = [&](bool begins) {
-        if (given.list.form == list_form::agent)
+        if (given.list.form == list_service_kind::agent)
             return all.list.silent(begins);
         if (!begins)
             return all.service.rise();
@@ -77,7 +77,7 @@
     };
     for (index i = 0; i < all.servers.size(); ++i)
         all.servers.at(i).on_change = [&, i] { // a cold server that fell over
-            if (!all.servers.at(i).up() && all.list.truth(i).state != listing::gone)
+            if (!all.servers.at(i).up() && all.list.truth(i).state != endpoint_state::removed)
                 for (auto &each : proxies)
                     each.broken(i);
         };
--- a/src/lab/world/list_service.cpp
+++ b/src/lab/world/list_service.cpp
@@ -28,12 +28,12 @@
             return open(number, *since, wait, done);
         list_answer all{false, true, 0, list_.revision(), {}};
         for (const auto &each : list_.all())
-            if (each.state != listing::gone)
+            if (each.state != endpoint_state::removed)
                 all.members.push_back(each);
         done(all);
     };
     waiting_[number] = true;
-    if (given_.form == list_form::agent) {
+    if (given_.form == list_service_kind::agent) {
         serve();
         return number;
     }
--- a/src/lab/world/membership.cpp
+++ b/src/lab/world/membership.cpp
@@ -10,7 +10,8 @@
         const bool here = i < given.fleet.servers || (i == servers && given.fleet.aside);
         // What an old list names went when this one came.
         const bool went = given.proxies.known == known_list::old && i < servers && in_old_list(given, i);
-        members_.push_back({i, here ? listing::ready : listing::gone, 0, here || went ? revision_ : 0});
+        members_.push_back(
+            {i, here ? endpoint_state::ready : endpoint_state::removed, 0, here || went ? revision_ : 0});
     }
 }
 
@@ -18,7 +19,7 @@
     : member_list(given, servers), clock_(clock), given_(given.list), chance_(seed), truth_(members_),
       due_(servers + 1, 0.0) {}
 
-void membership::happened(index server, listing state, double started) {
+void membership::happened(index server, endpoint_state state, double started) {
     member &now = truth_[server];
     if (now.state == state && now.started == started)
         return;
@@ -61,8 +62,8 @@
     for (const auto &each : members_)
         if (old && each.server + 1 < members_.size()) {
             if (in_old_list(given, each.server))
-                made.push_back({each.server, listing::ready, 0, 0});
-        } else if (each.state != listing::gone) {
+                made.push_back({each.server, endpoint_state::ready, 0, 0});
+        } else if (each.state != endpoint_state::removed) {
             made.push_back(each);
         }
     return made;
--- a/src/lab/world/membership.hpp
+++ b/src/lab/world/membership.hpp
@@ -17,7 +17,7 @@
 public:
     struct member {
         index server = none; // the fleet's number; the origin's is the fleet's size
-        listing state = listing::gone;
+        endpoint_state state = endpoint_state::removed;
         double started = 0;
         std::uint64_t revision = 0; // of its last change
     };
@@ -47,7 +47,7 @@
     membership(timeline &clock, const experiment &given, index servers, std::uint32_t seed);
 
     // What happened; it is published later.
-    void happened(index server, listing state, double started);
+    void happened(index server, endpoint_state state, double started);
     void stale(bool begins);
     const member &truth(index server) const { return truth_[server]; }
 
--- a/src/lab/world/servers.cpp
+++ b/src/lab/world/servers.cpp
@@ -101,10 +101,10 @@
 
 double cache_server::warmth() const {
     const auto &cold = of_.given.cold.decides;
-    if (started_ <= 0 || cold.warm_time <= 0)
+    if (started_ <= 0 || cold.warm_up_time <= 0)
         return 1;
-    const double gone = std::max(0.0, of_.clock.now() - started_) / cold.warm_time;
-    return std::min(1.0, cold.start_capacity + (1 - cold.start_capacity) * gone);
+    const double gone = std::max(0.0, of_.clock.now() - started_) / cold.warm_up_time;
+    return std::min(1.0, cold.initial_capacity_share + (1 - cold.initial_capacity_share) * gone);
 }
 
 void cache_server::receive(const job &what, answer_to done) {
@@ -372,7 +372,7 @@
     auto &known = marks_[what.op];
     const index group = group_of(given, what.use_case, server);
     for (const auto &each : known)
-        if (each.group == group && clock.now() < each.when + use.window)
+        if (each.group == group && clock.now() < each.when + use.deduplication_window)
             return true;
     known.push_back({clock.now(), group});
     old_marks_.emplace_back(clock.now(), what.op);
--- a/src/lab/world/spec.cpp
+++ b/src/lab/world/spec.cpp
@@ -2,7 +2,7 @@
 #include "lab/world/spec.hpp"
 
 #include "lab/world/chance.hpp"
-#include "setup/words.hpp"
+#include "settings/kind_names.hpp"
 
 #include <algorithm>
 #include <array>
@@ -52,8 +52,8 @@
      {"list_stop", fault_kind::list_stop}}};
 constexpr std::array<std::pair<const char *, known_list>, 3> known_names = {
     {{"none", known_list::none}, {"list", known_list::list}, {"old", known_list::old}}};
-constexpr std::array<std::pair<const char *, list_form>, 2> list_names = {
-    {{"agent", list_form::agent}, {"central", list_form::central}}};
+constexpr std::array<std::pair<const char *, list_service_kind>, 2> list_names = {
+    {{"agent", list_service_kind::agent}, {"central", list_service_kind::central}}};
 constexpr std::array<std::pair<const char *, link_kind>, 4> end_names = {
     {{"client-proxy", link_kind::client_proxy},
      {"proxy-server", link_kind::proxy_server},
@@ -263,20 +263,20 @@
     if (use.name.empty() ||
         use.name.find_first_not_of("abcdefghijklmnopqrstuvwxyz_-0123456789") != use.name.npos)
         from.refuse(nullptr, "a use_case needs a name of small letters, digits, - and _");
-    from.one_of("effect", effect_words, use.decides.effect);
-    from.one_of("group", group_words, use.decides.group);
-    from.seconds("window", use.decides.window, 0, 3600);
-    from.seconds("slo", use.decides.slo_time, 0.0001, 600);
-    use.statement_timeout = use.decides.slo_time * 3;
+    from.one_of("effect", effect_names, use.decides.effect);
+    from.one_of("group", deduplication_scope_names, use.decides.scope);
+    from.seconds("window", use.decides.deduplication_window, 0, 3600);
+    from.seconds("slo", use.decides.latency_objective, 0.0001, 600);
+    use.statement_timeout = use.decides.latency_objective * 3;
     from.seconds("timeout", use.statement_timeout, 0.001, 600);
-    from.number("importance", use.decides.importance, 0, 1000);
-    from.number("tardy", use.decides.tardy, 0, 1);
+    from.number("importance", use.decides.priority_weight, 0, 1000);
+    from.number("tardy", use.decides.late_value_share, 0, 1);
     from.flag("write", use.write);
     from.flag("keyed", use.keyed);
     from.number("share", use.share, 0, 1e6);
     from.seconds("work", use.work, 1e-6, 60);
     from.number("spread", use.spread, 0, 3);
-    if (use.decides.effect == effect_kind::deduplicated && use.decides.window <= 0)
+    if (use.decides.effect == effect_kind::deduplicated && use.decides.deduplication_window <= 0)
         from.refuse(nullptr, "a deduplicated use_case needs a window");
     to.use_cases.push_back(std::move(use));
 }
@@ -527,8 +527,8 @@
         from.whole("queue", to.origin.queue, 0, 1e6);
     });
     top.table("cold", [&](section &from) {
-        from.number("start_capacity", to.cold.decides.start_capacity, 0.01, 1);
-        from.seconds("warm_time", to.cold.decides.warm_time, 0, 3600);
+        from.number("start_capacity", to.cold.decides.initial_capacity_share, 0.01, 1);
+        from.seconds("warm_time", to.cold.decides.warm_up_time, 0, 3600);
         from.number("push_limit", to.cold.push_limit, 1, 1000);
         from.seconds("push_time", to.cold.push_time, 0.1, 60);
     });
@@ -630,19 +630,19 @@
 } // namespace
 
 const char *name_of(fault_kind kind) {
-    return word_of(fault_names, kind);
+    return kind_name(fault_names, kind);
 }
 
 const char *name_of(link_fault_kind kind) {
-    return word_of(link_names, kind);
+    return kind_name(link_names, kind);
 }
 
 const char *name_of(link_kind kind) {
-    return word_of(end_names, kind);
+    return kind_name(end_names, kind);
 }
 
 const char *name_of(plant which) {
-    return word_of(plant_names, which);
+    return kind_name(plant_names, which);
 }
 
 plant plant_of(const std::string &name) {
@@ -678,12 +678,13 @@
     return std::clamp(given.drain_grace * 0.25, 0.1, 1.0);
 }
 
-startup::terms list_terms(const experiment &given) {
+discovery::poll_settings list_terms(const experiment &given) {
     const auto &list = given.list;
-    return {.service = given.proxies.shared_list ? startup::list_form::shared : startup::list_form::agent,
-            .peers = given.proxies.count,
-            .lists_a_s = std::min(1e6, list.workers / std::max(1e-6, list.whole_work)),
-            .must_ask_in = ask_in};
+    return {.service = given.proxies.shared_list ? discovery::list_service_kind::shared
+                                                 : discovery::list_service_kind::agent,
+            .proxy_count = given.proxies.count,
+            .snapshots_per_second = std::min(1e6, list.workers / std::max(1e-6, list.whole_work)),
+            .max_poll_interval = ask_in};
 }
 
 // Every second one of what is left of the share, whatever the zone.
@@ -705,7 +706,7 @@
 }
 
 const char *name_of(decider by) {
-    return word_of(decider_names, by);
+    return kind_name(decider_names, by);
 }
 
 decider decider_of(const std::string &name) {
@@ -756,33 +757,35 @@
 }
 
 index group_of(const experiment &given, index use_case, index server) {
-    const auto group = given.use_cases[use_case].decides.group;
-    return group == repeat_group::all ? 0 : group == repeat_group::zone ? zone_of(given, server) : server;
+    const auto group = given.use_cases[use_case].decides.scope;
+    return group == deduplication_scope::all    ? 0
+           : group == deduplication_scope::zone ? zone_of(given, server)
+                                                : server;
 }
 
-settings settings_for(const experiment &given, index proxy) {
-    settings made;
+router_settings settings_for(const experiment &given, index proxy) {
+    router_settings made;
     for (const auto &each : given.use_cases)
-        made.use_cases.push_back(each.decides);
+        made.request_classes.push_back(each.decides);
     for (const auto &each : given.tenants)
-        made.tenant_quota.push_back(each.quota_rps);
-    made.excess_importance = given.proxies.excess_importance;
-    made.own_zone = zone_of_proxy(given, proxy);
-    made.peers = given.proxies.count;
-    made.me = proxy;
-    made.handshake_price = given.prices.handshake;
-    made.origin_price = given.prices.origin;
-    made.idle_limit = given.fleet.idle;
-    made.cold = given.cold.decides;
+        made.tenant_quotas.push_back(each.quota_rps);
+    made.over_quota_weight_share = given.proxies.excess_importance;
+    made.local_zone = zone_of_proxy(given, proxy);
+    made.proxy_count = given.proxies.count;
+    made.proxy_index = proxy;
+    made.handshake_cost = given.prices.handshake;
+    made.origin_fetch_cost = given.prices.origin;
+    made.upstream_idle_timeout = given.fleet.idle;
+    made.slow_start = given.cold.decides;
     made.origin_kind = given.fleet.aside ? 1 : none;
-    made.allow.may_cancel = given.proxies.cancel;
-    made.allow.may_probe = given.proxies.probes;
-    made.allow.must_subscribe = true;
+    made.constraints.may_cancel = given.proxies.cancel;
+    made.constraints.may_check_health = given.proxies.probes;
+    made.constraints.watch_required = true;
     // As the program has it where the list is told by itself (proxy/settings.cpp).
-    const bool patient = given.list.form == list_form::central && !given.proxies.shared_list;
-    made.allow.must_ask_in = patient ? list_patience(given.list) : ask_in;
-    made.allow.max_executions = given.proxies.max_executions;
-    made.allow.max_advice = given.proxies.advice;
+    const bool patient = given.list.form == list_service_kind::central && !given.proxies.shared_list;
+    made.constraints.max_poll_interval = patient ? list_patience(given.list) : ask_in;
+    made.constraints.max_attempts = given.proxies.max_executions;
+    made.constraints.max_retry_after = given.proxies.advice;
     return made;
 }
 
--- a/src/lab/world/spec.hpp
+++ b/src/lab/world/spec.hpp
@@ -4,8 +4,8 @@
 // line and reason, and nothing is run.
 #pragma once
 
+#include "discovery/poll_intervals.hpp"
 #include "router/types.hpp"
-#include "startup/pace.hpp"
 
 #include <stdexcept>
 #include <string>
@@ -19,7 +19,7 @@
 
 struct use_case_spec {
     std::string name;
-    use_case decides; // as the router has it
+    request_class decides; // as the router has it
     bool write = false;
     bool keyed = true;
     double share = 1;             // of the load
@@ -58,7 +58,7 @@
 };
 
 struct cold_spec {
-    cold_rule decides;
+    slow_start_settings decides;
     double push_limit = 4; // times what it can do in ...
     double push_time = 2;  // ... s: beyond it a cold server falls over, and stays down
 };
@@ -68,13 +68,13 @@
     double dial_limit = 0.25;                     // s
 };
 
-enum class list_form : std::uint8_t {
+enum class list_service_kind : std::uint8_t {
     agent,  // one beside each proxy, at no cost: what it has counts as told
     central // one service for all, with workers and a queue
 };
 
 struct list_spec {
-    list_form form = list_form::agent;
+    list_service_kind form = list_service_kind::agent;
     index workers = 1;         // of the central service
     double whole_work = 0.05;  // s of a worker for a whole list
     double watch_work = 0.001; // s of a worker to open a watch
@@ -256,7 +256,7 @@
 experiment parse_experiment(const std::string &text, const std::string &name, bool large = false);
 
 // What each proxy of it is told; `proxy` is its number.
-settings settings_for(const experiment &given, index proxy);
+router_settings settings_for(const experiment &given, index proxy);
 index zone_of(const experiment &given, index server);
 index zone_of_proxy(const experiment &given, index proxy);
 // The servers that drop one another's repeats of this use case have the same. A cell here is one server; the
@@ -274,7 +274,7 @@
 // (as proxy/settings.cpp has it).
 double list_patience(const list_spec &given);
 // How a proxy asks the list service, as its configuration has it.
-startup::terms list_terms(const experiment &given);
+discovery::poll_settings list_terms(const experiment &given);
 // Whether the list that a proxy starts with is the old one, and of that: what it says of a server.
 bool knows_old(const experiment &given, index proxy);
 bool in_old_list(const experiment &given, index server);
--- a/src/lab/world/witness.hpp
+++ b/src/lab/world/witness.hpp
@@ -39,7 +39,7 @@
     virtual void died(index server) = 0; // its process was killed: what was out there is over
 
     // The list and the proxies.
-    virtual void told(index proxy, index server, listing as) = 0;
+    virtual void told(index proxy, index server, endpoint_state as) = 0;
     // It ended, and its successor has heard of nothing. Killed: what it held is its clients' to try again.
     virtual void restarted(index proxy, bool killed) = 0;
     // It stands still by a fault: it cannot answer in time.
--- a/src/net/buffers.cpp
+++ b/src/net/buffer_pool.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "net/buffers.hpp"
+#include "net/buffer_pool.hpp"
 
 namespace harrierpass {
 namespace {
@@ -8,27 +8,27 @@
 
 } // namespace
 
-buffer_pool::lease buffer_pool::take() {
+buffer_pool::buffer_handle buffer_pool::acquire() {
     {
         const std::lock_guard hold(lock_);
         if (!free_.empty()) {
-            lease taken(free_.back().release(), give_back{this});
+            buffer_handle taken(free_.back().release(), buffer_deleter{this});
             free_.pop_back();
             return taken;
         }
         free_.reserve(most_at_rest); // put() must not fail
     }
-    return lease(new char[buffer_size], give_back{this});
+    return buffer_handle(new char[buffer_size], buffer_deleter{this});
 }
 
-void buffer_pool::put(char *buffer) noexcept {
+void buffer_pool::release(char *buffer) noexcept {
     std::unique_ptr<char[]> back(buffer);
     const std::lock_guard hold(lock_);
     if (free_.size() < most_at_rest)
         free_.push_back(std::move(back));
 }
 
-std::size_t buffer_pool::at_rest() const {
+std::size_t buffer_pool::idle_count() const {
     const std::lock_guard hold(lock_);
     return free_.size();
 }
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -49,7 +49,7 @@
 
 bool names(string_view list, string_view name) {
     bool found = false;
-    each_part(list, [&](string_view part) { found = found || same_name(part, name); });
+    each_part(list, [&](string_view part) { found = found || equals_ignoring_case(part, name); });
     return found;
 }
 
@@ -60,33 +60,34 @@
 
 } // namespace
 
-bool same_name(string_view one, string_view two) {
+bool equals_ignoring_case(string_view one, string_view two) {
     return std::equal(one.begin(), one.end(), two.begin(), two.end(),
                       [](char a, char b) { return lower(a) == lower(b); });
 }
 
-string_view http_head::value(string_view name) const {
+string_view http_head::header(string_view name) const {
     for (const auto &each : fields)
-        if (same_name(each.name, name))
+        if (equals_ignoring_case(each.name, name))
             return each.value;
     return {};
 }
 
-std::size_t http_head::count(string_view name) const {
-    return static_cast<std::size_t>(std::count_if(
-        fields.begin(), fields.end(), [&](const http_field &each) { return same_name(each.name, name); }));
+std::size_t http_head::header_count(string_view name) const {
+    return static_cast<std::size_t>(std::count_if(fields.begin(), fields.end(), [&](const http_field &each) {
+        return equals_ignoring_case(each.name, name);
+    }));
 }
 
 bool http_head::keeps_alive() const {
     return minor >= 1 && std::none_of(fields.begin(), fields.end(), [](const http_field &each) {
-               return same_name(each.name, "Connection") && names(each.value, "close");
+               return equals_ignoring_case(each.name, "Connection") && names(each.value, "close");
            });
 }
 
-http_reader::http_reader(std::span<char> buffer, side which, std::size_t filled)
+http_reader::http_reader(std::span<char> buffer, message_kind which, std::size_t filled)
     : buffer_(buffer), side_(which), filled_(filled) {}
 
-http_reader::state http_reader::took(std::size_t count) {
+http_reader::state http_reader::received(std::size_t count) {
     filled_ += count;
     for (;;) {
         switch (at_) {
@@ -109,7 +110,7 @@
             body_size_ = taken_ - body_from_;
             return most_ > 0 && beyond(0) ? state::too_large : wait_for_more();
         case stage::done:
-            return state::whole;
+            return state::complete;
         default:
             if (const state now = read_chunks(); at_ != stage::done)
                 return now;
@@ -118,7 +119,9 @@
 }
 
 http_reader::state http_reader::wait_for_more() const {
-    return !room().empty() ? state::more : most_ > 0 && body_size_ > 0 ? state::full : state::too_large;
+    return !free_space().empty()         ? state::incomplete
+           : most_ > 0 && body_size_ > 0 ? state::window_full
+                                         : state::too_large;
 }
 
 bool http_reader::beyond(std::size_t size) const {
@@ -133,29 +136,29 @@
     released_ += std::exchange(body_size_, 0);
 }
 
-std::optional<std::size_t> http_reader::length() const {
-    const bool told = at_ != stage::head && head_.count("Content-Length") > 0;
+std::optional<std::size_t> http_reader::content_length() const {
+    const bool told = at_ != stage::head && head_.header_count("Content-Length") > 0;
     return told ? std::optional(total_) : std::nullopt;
 }
 
-http_reader::state http_reader::ended() {
+http_reader::state http_reader::on_peer_closed() {
     if (at_ != stage::to_end)
-        return state::cut;
+        return state::truncated;
     at_ = stage::done;
-    return state::whole;
+    return state::complete;
 }
 
 http_reader::state http_reader::read_head() {
     for (;;) {
         const string_view text(buffer_.data() + taken_, filled_ - taken_);
-        const auto end = text.substr(0, head_limit).find("\r\n\r\n");
+        const auto end = text.substr(0, max_head_size).find("\r\n\r\n");
         // An empty line ahead of a request is skipped: some clients send one behind a body.
-        if (side_ == side::request && text.starts_with("\r\n")) {
+        if (side_ == message_kind::request && text.starts_with("\r\n")) {
             taken_ += 2;
             continue;
         }
-        if (side_ == side::request && text == "\r")
-            return state::more;
+        if (side_ == message_kind::request && text == "\r")
+            return state::incomplete;
         // Guards against waiting for the end of what can never be a head.
         if (!may_begin(text))
             return state::malformed;
@@ -164,12 +167,12 @@
             std::memmove(buffer_.data(), text.data(), text.size());
             filled_ = text.size();
             taken_ = 0;
-            return filled_ >= head_limit ? state::too_large : state::more;
+            return filled_ >= max_head_size ? state::too_large : state::incomplete;
         }
         if (!parse_head(text.substr(0, end + 2)))
             return state::malformed;
         taken_ += end + 4;
-        if (side_ == side::request || head_.status >= 200)
+        if (side_ == message_kind::request || head_.status >= 200)
             break;
         // An interim answer; the one that counts follows. Guards the small stack: however many there are.
     }
@@ -180,7 +183,7 @@
 // An answer starts with its version, a request with a method, in capitals here.
 bool http_reader::may_begin(string_view text) const {
     static constexpr string_view version = "HTTP/1.";
-    if (side_ == side::answer)
+    if (side_ == message_kind::response)
         return text.substr(0, version.size()) == version.substr(0, text.size());
     return text.empty() || is_token(text.substr(0, 1));
 }
@@ -219,7 +222,7 @@
     const auto space = line.find(' ');
     if (space == string_view::npos)
         return false;
-    if (side_ == side::answer) {
+    if (side_ == message_kind::response) {
         const string_view after = line.substr(space + 1), code = after.substr(0, 3);
         return version(line.substr(0, space)) &&
                (after.size() == 3 || (after.size() > 3 && after[3] == ' ')) && is_value(after) &&
@@ -232,7 +235,7 @@
     head_.target = line.substr(space + 1, last - space - 1);
     // The absolute form, which names the host again.
     static constexpr string_view scheme = "http://";
-    if (same_name(head_.target.substr(0, scheme.size()), scheme)) {
+    if (equals_ignoring_case(head_.target.substr(0, scheme.size()), scheme)) {
         const auto path = head_.target.find('/', scheme.size());
         head_.target = path == string_view::npos ? string_view("/") : head_.target.substr(path);
     }
@@ -246,29 +249,30 @@
 http_reader::state http_reader::frame() {
     int lengths = 0, codings = 0;
     for (const auto &each : head_.fields) {
-        if (same_name(each.name, "Content-Length")) {
+        if (equals_ignoring_case(each.name, "Content-Length")) {
             ++lengths;
             if (each.value.empty() || each.value.size() > 15 || each.value.front() == '-' ||
                 !read_number(each.value, left_))
                 return state::malformed;
-        } else if (same_name(each.name, "Transfer-Encoding")) {
+        } else if (equals_ignoring_case(each.name, "Transfer-Encoding")) {
             ++codings;
-            if (!same_name(each.value, "chunked"))
+            if (!equals_ignoring_case(each.value, "chunked"))
                 return state::malformed;
         }
     }
     if (lengths + codings > 1 || (codings > 0 && head_.minor == 0))
         return state::malformed;
     total_ = left_;
-    const bool bare = side_ == side::answer && (bodiless_ || head_.status == 204 || head_.status == 304);
+    const bool bare =
+        side_ == message_kind::response && (bodiless_ || head_.status == 204 || head_.status == 304);
     if (bare)
         left_ = 0;
     if (beyond(left_))
         return state::too_large;
-    at_ = codings > 0 && !bare                            ? stage::chunk_size
-          : lengths > 0 || bare || side_ == side::request ? stage::counted
-                                                          : stage::to_end;
-    return state::more;
+    at_ = codings > 0 && !bare                                    ? stage::chunk_size
+          : lengths > 0 || bare || side_ == message_kind::request ? stage::counted
+                                                                  : stage::to_end;
+    return state::incomplete;
 }
 
 // The next line of a chunked body, without its CRLF; false: not there yet.
@@ -316,7 +320,7 @@
             at_ = left_ > 0 ? stage::chunk : stage::trailer;
         } else if (line.empty()) { // the end of the trailer, which nobody here needs
             at_ = stage::done;
-            return state::whole;
+            return state::complete;
         }
     }
     // What is not read yet moves up behind the body, so that the room is the body's.
@@ -327,18 +331,18 @@
     return wait_for_more();
 }
 
-bool is_hop_field(const http_head &of, string_view name) {
+bool is_hop_by_hop(const http_head &of, string_view name) {
     for (const string_view each :
          {"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "TE",
           "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect"})
-        if (same_name(name, each))
+        if (equals_ignoring_case(name, each))
             return true;
     return std::any_of(of.fields.begin(), of.fields.end(), [&](const http_field &each) {
-        return same_name(each.name, "Connection") && names(each.value, name);
+        return equals_ignoring_case(each.name, "Connection") && names(each.value, name);
     });
 }
 
-double deadline_seconds(string_view text) {
+double parse_timeout(string_view text) {
     if (text.size() < 2 || (text.back() != 'm' && text.back() != 'u'))
         return -1;
     double value = 0;
@@ -347,7 +351,7 @@
     return value / (text.back() == 'm' ? 1e3 : 1e6);
 }
 
-void put_field(std::string &to, string_view name, string_view value) {
+void append_header(std::string &to, string_view name, string_view value) {
     to.append(name).append(": ").append(value).append("\r\n");
 }
 
--- a/src/net/http.hpp
+++ b/src/net/http.hpp
@@ -2,7 +2,7 @@
 // A strict, bounded reader of HTTP/1.1 messages (RFC 9112), and what is needed to write them.
 #pragma once
 
-#include "net/buffers.hpp"
+#include "net/buffer_pool.hpp"
 
 #include <cstdint>
 #include <optional>
@@ -23,8 +23,8 @@
     int minor = 1;                   // HTTP/1.minor
     std::vector<http_field> fields;
 
-    std::string_view value(std::string_view name) const; // empty where absent
-    std::size_t count(std::string_view name) const;
+    std::string_view header(std::string_view name) const; // empty where absent
+    std::size_t header_count(std::string_view name) const;
     bool keeps_alive() const;
 };
 
@@ -33,27 +33,38 @@
 // then: once it is full, what is there is to be used and released.
 class http_reader {
 public:
-    enum class side : std::uint8_t { request, answer };
-    enum class state : std::uint8_t { more, whole, malformed, too_large, cut, full }; // cut: it ended before
+    enum class message_kind : std::uint8_t { request, response };
+    enum class state : std::uint8_t {
+        incomplete,
+        complete,
+        malformed,
+        too_large,
+        truncated,
+        window_full
+    }; // cut: it ended before
 
     // `filled` bytes of the buffer are there already.
-    http_reader(std::span<char> buffer, side which, std::size_t filled = 0);
-
-    std::span<char> room() const { return buffer_.subspan(filled_); } // where the next bytes go; may be empty
-    state took(std::size_t count);                                    // so many were put there
-    state look() { return took(0); }
-    void let_through(std::size_t most) { most_ = most; } // a body of up to so many bytes
-    void without_body() { bodiless_ = true; }            // an answer to HEAD
+    http_reader(std::span<char> buffer, message_kind which, std::size_t filled = 0);
+
+    std::span<char> free_space() const {
+        return buffer_.subspan(filled_);
+    }                                  // where the next bytes go; may be empty
+    state received(std::size_t count); // so many were put there
+    state parse_buffered() { return received(0); }
+    void stream_body(std::size_t most) { most_ = most; } // a body of up to so many bytes
+    void expect_no_body() { bodiless_ = true; }          // an answer to HEAD
     void release(); // the body's bytes that are there have been used; their room is free
-    std::size_t released() const { return released_; }
-    std::optional<std::size_t> length() const; // of the body, where the head tells
-    state ended();                             // the other side closes: whole only if the close marks the end
+    std::size_t released_bytes() const { return released_; }
+    std::optional<std::size_t> content_length() const; // of the body, where the head tells
+    state on_peer_closed(); // the other side closes: whole only if the close marks the end
 
     const http_head &head() const { return head_; }
-    bool begun() const { return at_ != stage::head || filled_ > taken_; } // some of it is there
+    bool has_begun() const { return at_ != stage::head || filled_ > taken_; } // some of it is there
     bool has_head() const { return at_ != stage::head; }
     std::string_view body() const { return {buffer_.data() + body_from_, body_size_}; }
-    std::string_view rest() const { return {buffer_.data() + taken_, filled_ - taken_}; } // after the message
+    std::string_view pipelined_bytes() const {
+        return {buffer_.data() + taken_, filled_ - taken_};
+    } // after the message
 
 private:
     enum class stage : std::uint8_t { head, counted, chunk_size, chunk, chunk_end, trailer, to_end, done };
@@ -68,7 +79,7 @@
     bool next_line(std::string_view &line);
 
     std::span<char> buffer_;
-    side side_;
+    message_kind side_;
     stage at_ = stage::head;
     http_head head_;
     std::size_t filled_;
@@ -81,14 +92,14 @@
     std::size_t trailer_ = 0; // bytes of chunk lines and trailers read
 };
 
-bool same_name(std::string_view one, std::string_view two); // ASCII, whatever the case
+bool equals_ignoring_case(std::string_view one, std::string_view two); // ASCII, whatever the case
 
 // Whether a field belongs to one connection only, or is written anew by each hop.
-bool is_hop_field(const http_head &of, std::string_view name);
+bool is_hop_by_hop(const http_head &of, std::string_view name);
 
 // "480m" or "480000u" in seconds; negative: no such text.
-double deadline_seconds(std::string_view text);
+double parse_timeout(std::string_view text);
 
-void put_field(std::string &to, std::string_view name, std::string_view value);
+void append_header(std::string &to, std::string_view name, std::string_view value);
 
 } // namespace harrierpass
--- a/src/net/sockets.cpp
+++ b/src/net/sockets.cpp
@@ -80,7 +80,7 @@
     return std::string(host) + ":" + port;
 }
 
-bool is_own_shortage(int error) {
+bool is_local_shortage(int error) {
     switch (error) {
     case EMFILE:
     case ENFILE:
@@ -199,7 +199,7 @@
     return got >= 0 ? got : may_pass(errno) ? -2 : -1;
 }
 
-void release(tcp_socket &connection, double limit, std::size_t most) {
+void close_gracefully(tcp_socket &connection, double limit, std::size_t most) {
     ::shutdown(connection.get(), SHUT_WR);
     const double end = steady_now() + limit;
     std::array<char, 4096> dropped;
@@ -220,13 +220,13 @@
     connection.close();
 }
 
-waiting peek(const tcp_socket &from) {
+peek_result peek(const tcp_socket &from) {
     char byte;
     const auto got = ::recv(from.get(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-    return got > 0           ? waiting::bytes
-           : got == 0        ? waiting::close
-           : may_pass(errno) ? waiting::nothing
-                             : waiting::reset;
+    return got > 0           ? peek_result::data
+           : got == 0        ? peek_result::closed
+           : may_pass(errno) ? peek_result::empty
+                             : peek_result::reset;
 }
 
 } // namespace harrierpass
--- a/src/net/sockets.hpp
+++ b/src/net/sockets.hpp
@@ -39,7 +39,7 @@
 
 // Whether a call failed for want of something on this machine (descriptor, buffer, memory, port, route): it
 // says nothing of the other side.
-bool is_own_shortage(int error);
+bool is_local_shortage(int error);
 
 // A socket for dial(), made beforehand: a descriptor that nobody else can take. Empty: errno tells why.
 tcp_socket socket_for(const address &to);
@@ -62,10 +62,10 @@
 // An orderly release, for a connection on which the other side may still read what it was sent: our side
 // ends, and what comes is read and dropped until the other side ends, for `limit` s and `most` bytes. Then it
 // closes. Guards the last bytes on their way: closing over bytes unread is a reset, which destroys them.
-void release(tcp_socket &connection, double limit, std::size_t most);
+void close_gracefully(tcp_socket &connection, double limit, std::size_t most);
 
 // What waits to be read.
-enum class waiting { nothing, bytes, close, reset };
-waiting peek(const tcp_socket &from);
+enum class peek_result { empty, data, closed, reset };
+peek_result peek(const tcp_socket &from);
 
 } // namespace harrierpass
--- a/src/net/threads.cpp
+++ b/src/net/threads.cpp
@@ -76,7 +76,7 @@
     return ppoll(sockets.data(), sockets.size(), seconds >= forever ? nullptr : &limit, &but_calls);
 }
 
-void call(pthread_t thread) {
+void wake_thread(pthread_t thread) {
     pthread_kill(thread, call_signal);
 }
 
--- a/src/net/threads.hpp
+++ b/src/net/threads.hpp
@@ -14,7 +14,7 @@
 // s; the longest wait of a thread that others may call, after which it looks for itself. Guards against a
 // platform where no signal ends a wait: there a decision would be slept through until the socket stirs. Short
 // beside any SLO time, and some microseconds of CPU each.
-inline constexpr double call_lost = 0.02;
+inline constexpr double missed_wakeup_limit = 0.02;
 
 double steady_now(); // s; goes forward only
 
@@ -24,7 +24,7 @@
 int wait_on(std::span<pollfd> sockets, double seconds);
 
 // Ends the present or next wait of a thread that is known to be alive.
-void call(pthread_t thread);
+void wake_thread(pthread_t thread);
 
 // Runs on its own until its body returns. False where no thread can be had.
 bool start_detached(std::function<void()> body);
--- a/src/proxy/relay.cpp
+++ b/src/proxy/client/body_relay.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "proxy/relay.hpp"
+#include "proxy/client/body_relay.hpp"
 
-#include "net/exchange.hpp"
+#include "net/http_call.hpp"
 #include "net/threads.hpp"
 
 #include <algorithm>
@@ -28,46 +28,48 @@
 
 } // namespace
 
-relay_end relay_body(http_reader &from, const tcp_socket &source, const tcp_socket &sink, framing how,
-                     const relay_limits &limits, const std::function<double()> &now,
-                     const std::function<bool()> &called) {
+relay_result relay_body(http_reader &from, const tcp_socket &source, const tcp_socket &sink, framing how,
+                        const relay_limits &limits, const std::function<double()> &now,
+                        const std::function<bool()> &called) {
     bool begun = false;
     double waited = 0; // s in all; only what the source itself took counts against it
-    for (auto state = from.look();;) {
-        const bool whole = state == http_reader::state::whole;
-        if (!put(sink, from.body(), how, begun, whole, std::min(limits.sink, limits.until - now())))
-            return relay_end::sink_broke;
+    for (auto state = from.parse_buffered();;) {
+        const bool whole = state == http_reader::state::complete;
+        if (!put(sink, from.body(), how, begun, whole,
+                 std::min(limits.sink_timeout, limits.deadline - now())))
+            return relay_result::sink_broken;
         from.release();
         if (whole)
-            return relay_end::whole;
-        if (state == http_reader::state::cut)
-            return relay_end::source_cut;
+            return relay_result::complete;
+        if (state == http_reader::state::truncated)
+            return relay_result::source_truncated;
         if (state == http_reader::state::malformed || state == http_reader::state::too_large)
-            return relay_end::source_spoilt;
+            return relay_result::source_malformed;
         const double since = now();
         for (;;) {
             if (called())
-                return relay_end::called;
+                return relay_result::cancelled;
             const double pause = now() - since;
-            const double allowed =
-                limits.source_rate > 0
-                    ? limits.source + static_cast<double>(from.released()) / limits.source_rate - waited
-                    : limits.source;
-            const double left = std::min(allowed - pause, limits.until - now());
+            const double allowed = limits.source_rate > 0
+                                       ? limits.source_timeout +
+                                             static_cast<double>(from.released_bytes()) / limits.source_rate -
+                                             waited
+                                       : limits.source_timeout;
+            const double left = std::min(allowed - pause, limits.deadline - now());
             if (left <= 0)
-                return relay_end::source_slow;
+                return relay_result::source_slow;
             std::array<pollfd, 2> both = {
-                {{source.get(), POLLIN, 0}, {sink.get(), limits.watches_sink ? short{POLLIN} : short{0}, 0}}};
-            if (wait_on(both, std::min(call_lost, left)) <= 0)
+                {{source.get(), POLLIN, 0}, {sink.get(), limits.watch_sink ? short{POLLIN} : short{0}, 0}}};
+            if (wait_on(both, std::min(missed_wakeup_limit, left)) <= 0)
                 continue;
             if (both[1].revents != 0)
-                return limits.watches_sink && (both[1].revents & POLLIN) != 0 ? relay_end::sink_spoke
-                                                                              : relay_end::sink_broke;
+                return limits.watch_sink && (both[1].revents & POLLIN) != 0 ? relay_result::sink_responded
+                                                                            : relay_result::sink_broken;
             if (both[0].revents != 0)
                 break;
         }
         waited += now() - since;
-        state = read_into(from, source);
+        state = read_available(from, source);
     }
 }
 
--- a/src/proxy/snapshot_file.cpp
+++ b/src/proxy/discovery/snapshot_file.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "proxy/snapshot_file.hpp"
+#include "proxy/discovery/snapshot_file.hpp"
 
 #include "base/text.hpp"
 #include "net/sockets.hpp" // tcp_socket holds any descriptor
@@ -55,8 +55,8 @@
     return false;
 }
 
-snapshot_found read_snapshot_of(const configuration &given, double now) {
-    const tcp_socket from(::open(given.snapshot.c_str(), O_RDONLY | O_CLOEXEC));
+snapshot_load_result load_snapshot(const configuration &given, double now) {
+    const tcp_socket from(::open(given.snapshot_path.c_str(), O_RDONLY | O_CLOEXEC));
     if (!from)
         return {errno == ENOENT ? "absent" : "unreadable", {}, 0};
     std::string text(largest, '\0');
@@ -66,13 +66,14 @@
             return {"unreadable", {}, 0};
         size += static_cast<std::size_t>(got);
     }
-    const auto read = startup::read_snapshot(std::string_view(text).substr(0, size),
-                                             {given.name, given.discovery, 0, {}}, now, given.snapshot_age);
-    if (read.fault != startup::snapshot_fault::none)
-        return {startup::name_of(read.fault), {}, 0};
+    const auto read =
+        discovery::read_snapshot(std::string_view(text).substr(0, size), {given.name, given.discovery, 0, {}},
+                                 now, given.snapshot_max_age);
+    if (read.fault != discovery::snapshot_fault::none)
+        return {discovery::name_of(read.fault), {}, 0};
     try {
-        return {nullptr, read_json(read.made.list), read.age};
-    } catch (const bad_text &) { // its checksum holds, so it was written so
+        return {nullptr, read_json(read.snapshot.endpoints), read.age};
+    } catch (const parse_error &) { // its checksum holds, so it was written so
         return {"unusable", {}, 0};
     }
 }
--- a/src/proxy/snapshot_file.hpp
+++ b/src/proxy/discovery/snapshot_file.hpp
@@ -3,8 +3,8 @@
 // any time leaves the last whole one or the next.
 #pragma once
 
-#include "proxy/settings.hpp"
-#include "startup/snapshot.hpp"
+#include "discovery/endpoint_snapshot.hpp"
+#include "proxy/configuration.hpp"
 
 #include <optional>
 
@@ -13,12 +13,12 @@
 // Whether the file holds it now; else errno tells.
 bool write_snapshot(const std::string &path, const std::string &text);
 
-struct snapshot_found {
+struct snapshot_load_result {
     const char *fault = nullptr; // why there is none: absent, unreadable, unusable or a snapshot_fault's name
     json list;                   // in discovery's form
     double age = 0;              // s
 };
 // `now`: Unix time, s.
-snapshot_found read_snapshot_of(const configuration &given, double now);
+snapshot_load_result load_snapshot(const configuration &given, double now);
 
 } // namespace harrierpass::proxy
--- a/src/proxy/control.cpp
+++ b/src/proxy/operations/control_server.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "proxy/control.hpp"
+#include "proxy/operations/control_server.hpp"
 
-#include "proxy/messages.hpp"
+#include "proxy/request/protocol.hpp"
 
 #include <algorithm>
 #include <array>
@@ -57,47 +57,48 @@
 
 } // namespace
 
-control::control(tcp_socket on, control_calls calls) : socket_(std::move(on)), calls_(std::move(calls)) {
+control_server::control_server(tcp_socket on, control_handlers calls)
+    : socket_(std::move(on)), handlers_(std::move(calls)) {
     thread_.emplace([this] { run(); });
 }
 
-control::~control() {
+control_server::~control_server() {
     over_ = true;
-    call(thread_->id());
+    wake_thread(thread_->id());
     thread_.reset();
 }
 
-void control::run() {
+void control_server::run() {
     std::vector<pollfd> waits;
     while (!over_) {
         waits.assign(1, {socket_.get(), POLLIN, 0});
-        for (const auto &each : callers_)
+        for (const auto &each : clients_)
             waits.push_back({each.socket.get(), POLLIN, 0});
         wait_on(waits, look_period);
         const double now = steady_now();
         auto in = waits.begin() + 1;
-        for (auto each = callers_.begin(); each != callers_.end(); ++in) {
+        for (auto each = clients_.begin(); each != clients_.end(); ++in) {
             bool stays = now - each->since < (each->answered ? linger_limit : call_limit);
             try {
-                stays = stays && (in->revents == 0 || hear(*each));
+                stays = stays && (in->revents == 0 || read_request(*each));
             } catch (const std::bad_alloc &) { // guards the door: that caller has no answer
                 stays = false;
             }
-            each = stays ? std::next(each) : callers_.erase(each);
+            each = stays ? std::next(each) : clients_.erase(each);
         }
         if (waits.front().revents != 0)
-            take_all();
+            accept_all();
     }
 }
 
 // Each new caller is heard at once, as a whole call is mostly there already. Guards against those that say
 // nothing: when all places are taken the one that has stayed longest gives way.
-void control::take_all() {
-    for (std::size_t taken = 0; taken < most_callers; ++taken) {
+void control_server::accept_all() {
+    for (std::size_t taken = 0; taken < max_connections; ++taken) {
         address peer;
         tcp_socket from = accept_on(socket_, peer);
-        if (!from && is_own_shortage(errno) && !callers_.empty()) {
-            callers_.pop_front();
+        if (!from && is_local_shortage(errno) && !clients_.empty()) {
+            clients_.pop_front();
             from = accept_on(socket_, peer);
         }
         if (!from) {
@@ -107,40 +108,41 @@
             return;
         }
         try {
-            if (callers_.size() >= most_callers)
-                callers_.pop_front();
-            auto &made = callers_.emplace_back();
+            if (clients_.size() >= max_connections)
+                clients_.pop_front();
+            auto &made = clients_.emplace_back();
             made.socket = std::move(from);
             made.since = steady_now();
             made.buffer.resize(call_size);
-            made.reader.emplace(made.buffer, http_reader::side::request);
-            if (!hear(made))
-                callers_.pop_back();
+            made.reader.emplace(made.buffer, http_reader::message_kind::request);
+            if (!read_request(made))
+                clients_.pop_back();
         } catch (const std::bad_alloc &) {
             return;
         }
     }
 }
 
-bool control::hear(caller &from) {
+bool control_server::read_request(client &from) {
     if (from.answered) {
         char away[512];
         const long got = read_some(from.socket, away, sizeof away);
         return got > 0 || got == -2;
     }
-    const long got = read_some(from.socket, from.reader->room().data(), from.reader->room().size());
+    const long got =
+        read_some(from.socket, from.reader->free_space().data(), from.reader->free_space().size());
     if (got == -2)
         return true;
     if (got <= 0)
         return false;
-    auto state = from.reader->took(static_cast<std::size_t>(got));
-    if (state == http_reader::state::more && from.reader->room().empty())
+    auto state = from.reader->received(static_cast<std::size_t>(got));
+    if (state == http_reader::state::incomplete && from.reader->free_space().empty())
         state = http_reader::state::too_large;
     switch (state) {
-    case http_reader::state::more:
+    case http_reader::state::incomplete:
         return true;
-    case http_reader::state::whole:
-        answer(from, decide(from.reader->head()));
+    case http_reader::state::complete:
+        answer(from, handle(from.reader->head()));
         return true;
     case http_reader::state::too_large:
         answer(from, {413, "the call is longer than 4096 bytes\n"});
@@ -151,7 +153,7 @@
     }
 }
 
-control::said control::decide(const http_head &asked) const {
+control_server::response control_server::handle(const http_head &asked) const {
     const auto mark = asked.target.find('?');
     const string_view path = asked.target.substr(0, mark);
     const string_view query = mark == string_view::npos ? string_view{} : asked.target.substr(mark + 1);
@@ -166,22 +168,23 @@
         return {405, read ? "this call is a GET\n" : "this call is a POST\n",
                 read ? "Allow: GET\r\n" : "Allow: POST\r\n"};
     if (path == "/ready")
-        return calls_.ready() ? said{200, "ready\n"} : said{503, "not ready\n"};
+        return handlers_.ready() ? response{200, "ready\n"} : response{503, "not ready\n"};
     if (path == "/metrics")
-        return {200, calls_.figures(), "Content-Type: text/plain; version=0.0.4\r\n"};
+        return {200, handlers_.metrics(), "Content-Type: text/plain; version=0.0.4\r\n"};
     if (path == "/drain" || path == "/undrain") {
-        calls_.send_away(path == "/drain");
+        handlers_.set_draining(path == "/drain");
         return {200, "done\n"};
     }
     const char *fault = nullptr;
     const std::string id = target_of(query, fault);
     if (fault != nullptr)
         return {400, fault};
-    const bool known = path == "/cache-nodes/disable" ? calls_.take_out(id) : calls_.take_back(id);
-    return known ? said{200, "done\n"} : said{404, "no cache node has that id\n"};
+    const bool known =
+        path == "/cache-nodes/disable" ? handlers_.disable_endpoint(id) : handlers_.enable_endpoint(id);
+    return known ? response{200, "done\n"} : response{404, "no cache node has that id\n"};
 }
 
-void control::answer(caller &to, const said &what) {
+void control_server::answer(client &to, const response &what) {
     const std::string head = answer_head(what.status, what.fields, what.body.size(), false);
     write_all(to.socket, head, what.body, write_limit);
     ::shutdown(to.socket.get(), SHUT_WR);
--- a/src/proxy/control.hpp
+++ b/src/proxy/operations/control_server.hpp
@@ -17,44 +17,44 @@
 namespace harrierpass::proxy {
 
 // What the calls do. None may wait for long; `*_server` is false where nobody has that id.
-struct control_calls {
+struct control_handlers {
     std::function<bool()> ready;
-    std::function<std::string()> figures;
-    std::function<bool(const std::string &id)> take_out, take_back;
-    std::function<void(bool away)> send_away;
+    std::function<std::string()> metrics;
+    std::function<bool(const std::string &id)> disable_endpoint, enable_endpoint;
+    std::function<void(bool away)> set_draining;
 };
 
-class control {
+class control_server {
 public:
-    static constexpr std::size_t most_callers = 32; // connections at a time; operators are few
+    static constexpr std::size_t max_connections = 32; // connections at a time; operators are few
 
-    control(tcp_socket on, control_calls calls);
-    ~control();
+    control_server(tcp_socket on, control_handlers calls);
+    ~control_server();
     address at() const { return local_address(socket_); }
 
 private:
-    struct caller {
+    struct client {
         tcp_socket socket;
         double since;
         std::vector<char> buffer;
         std::optional<http_reader> reader;
         bool answered = false; // what else it sends is read away until it closes, or for a while
     };
-    struct said {
+    struct response {
         int status;
         std::string body;
         std::string fields = {};
     };
 
     void run();
-    void take_all();
-    bool hear(caller &from); // false: it is done with
-    said decide(const http_head &asked) const;
-    void answer(caller &to, const said &what);
+    void accept_all();
+    bool read_request(client &from); // false: it is done with
+    response handle(const http_head &asked) const;
+    void answer(client &to, const response &what);
 
     tcp_socket socket_;
-    const control_calls calls_;
-    std::list<caller> callers_; // the oldest first
+    const control_handlers handlers_;
+    std::list<client> clients_; // the oldest first
     std::atomic<bool> over_ = false;
     std::optional<joined_thread> thread_;
 };
--- a/src/proxy/handover.cpp
+++ b/src/proxy/operations/hot_restart.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "proxy/handover.hpp"
+#include "proxy/operations/hot_restart.hpp"
 
 #include "base/text.hpp"
 
@@ -84,7 +84,7 @@
     return text;
 }
 
-in_use read_use(std::string_view text) {
+shared_usage read_use(std::string_view text) {
     static constexpr const char *bad = "no numbers of what is in use";
     const auto space = std::min(text.find(' '), text.size());
     return {parse_number<std::size_t>(text.substr(0, space), bad),
@@ -93,51 +93,51 @@
 
 } // namespace
 
-std::string to_text(const in_use &from) {
+std::string to_text(const shared_usage &from) {
     return std::to_string(from.descriptors) + " " + std::to_string(from.clients);
 }
 
-std::string to_message(const std::vector<news> &from) {
+std::string to_message(const std::vector<peer_message> &from) {
     std::string made;
     for (const auto &each : from)
-        made.append(1, static_cast<char>(each.what))
+        made.append(1, static_cast<char>(each.type))
             .append(std::to_string(each.text.size()))
             .append(":")
             .append(each.text);
     return made;
 }
 
-std::vector<news> read_message(std::string_view from) {
+std::vector<peer_message> read_message(std::string_view from) {
     static constexpr const char *bad = "a message of the other process cannot be read";
-    std::vector<news> made;
+    std::vector<peer_message> made;
     while (!from.empty()) {
         const auto colon = from.find(':');
         if (kinds.find(from[0]) == std::string_view::npos || colon == std::string_view::npos)
-            throw bad_text{bad};
+            throw parse_error{bad};
         const auto size = parse_number<std::size_t>(from.substr(1, colon - 1), bad);
         if (size > from.size() - colon - 1)
-            throw bad_text{bad};
-        made.push_back({static_cast<news::kind>(from[0]), std::string(from.substr(colon + 1, size))});
+            throw parse_error{bad};
+        made.push_back({static_cast<peer_message::kind>(from[0]), std::string(from.substr(colon + 1, size))});
         from.remove_prefix(colon + 1 + size);
     }
     return made;
 }
 
-handover::handover(const std::string &directory, const std::string &listen)
+hot_restart::hot_restart(const std::string &directory, const std::string &listen)
     : directory_(directory), name_("harrierpass-" + listen + ".sock") {}
 
-handover::~handover() {
+hot_restart::~hot_restart() {
     over_ = true;
     if (thread_)
-        call(thread_->id());
+        wake_thread(thread_->id());
     thread_.reset();
 }
 
-std::optional<std::pair<tcp_socket, std::vector<news>>> handover::take() {
+std::optional<std::pair<tcp_socket, std::vector<peer_message>>> hot_restart::take_over() {
     const local_name at(directory_, name_);
-    link one{local_socket()};
+    peer one{local_socket()};
     if (!at.usable() || !one.socket || ::connect(one.socket.get(), at.get(), sizeof(sockaddr_un)) != 0 ||
-        !is_ours(one.socket) || !write(one, {{news::kind::hello, {}}}))
+        !is_ours(one.socket) || !write(one, {{peer_message::kind::hello, {}}}))
         return std::nullopt;
     const double end = steady_now() + ask_limit;
     while (steady_now() < end) {
@@ -152,54 +152,54 @@
         try {
             auto state = read_message(text);
             for (const auto &each : state)
-                if (each.what == news::kind::used)
-                    one.used = read_use(each.text);
-            links_.push_back(std::move(one));
+                if (each.type == peer_message::kind::usage)
+                    one.usage = read_use(each.text);
+            peers_.push_back(std::move(one));
             return std::pair(std::move(with), std::move(state));
-        } catch (const bad_text &) {
+        } catch (const parse_error &) {
             return std::nullopt;
         }
     }
     return std::nullopt;
 }
 
-void handover::run(calls with, const tcp_socket &listening) {
-    calls_ = std::move(with);
+void hot_restart::run(callbacks with, const tcp_socket &listening) {
+    callbacks_ = std::move(with);
     listening_ = listening.get();
-    if (!links_.empty())
-        after_change(); // from the start on: what the process before uses is not ours
+    if (!peers_.empty())
+        on_peers_changed(); // from the start on: what the process before uses is not ours
     thread_.emplace([this] { loop(); });
 }
 
-void handover::serve() {
+void hot_restart::start_serving() {
     serves_ = true;
-    tell({news::kind::ready, {}});
-    call(thread_->id());
+    broadcast({peer_message::kind::ready, {}});
+    wake_thread(thread_->id());
 }
 
 // Made beside its place and moved there in one step: guards a second successor against a moment without one,
 // and against what a killed process left.
-void handover::open_door() {
-    door_ = local_socket();
+void hot_restart::listen_for_successors() {
+    successor_socket_ = local_socket();
     const local_name beside(directory_, name_ + "." + std::to_string(::getpid())), at(directory_, name_);
-    if (!door_ || !beside.usable() || !at.usable())
+    if (!successor_socket_ || !beside.usable() || !at.usable())
         return;
     ::unlink(beside.path());
-    if (::bind(door_.get(), beside.get(), sizeof(sockaddr_un)) != 0 ||
-        ::listen(door_.get(), most_links) != 0 || std::rename(beside.path(), at.path()) != 0)
-        door_.close();
+    if (::bind(successor_socket_.get(), beside.get(), sizeof(sockaddr_un)) != 0 ||
+        ::listen(successor_socket_.get(), most_links) != 0 || std::rename(beside.path(), at.path()) != 0)
+        successor_socket_.close();
 }
 
-void handover::loop() {
+void hot_restart::loop() {
     double told = 0;
     std::vector<pollfd> waits;
     while (!over_) {
-        if (serves_ && !door_)
-            open_door();
-        waits.assign(1, {door_.get(), POLLIN, 0});
+        if (serves_ && !successor_socket_)
+            listen_for_successors();
+        waits.assign(1, {successor_socket_.get(), POLLIN, 0});
         {
             const std::lock_guard hold(lock_);
-            for (const auto &each : links_)
+            for (const auto &each : peers_)
                 waits.push_back({each.socket.get(), POLLIN, 0});
         }
         const bool alone = waits.size() == 1;
@@ -207,108 +207,109 @@
         bool changed = false;
         auto in = waits.begin() + 1;
         // Only this thread adds links and takes them off; tell() looks at them.
-        for (auto each = links_.begin(); in != waits.end(); ++in) {
-            const bool stays = in->revents == 0 || hear(*each);
+        for (auto each = peers_.begin(); in != waits.end(); ++in) {
+            const bool stays = in->revents == 0 || read_messages(*each);
             changed = changed || in->revents != 0;
             if (stays) {
                 ++each;
                 continue;
             }
             const std::lock_guard hold(lock_);
-            each = links_.erase(each);
+            each = peers_.erase(each);
         }
         if (waits.front().revents != 0) {
-            tcp_socket from(::accept4(door_.get(), nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK));
+            tcp_socket from(
+                ::accept4(successor_socket_.get(), nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK));
             if (!from) // guards the CPU: it still waits to be accepted
                 wait_on({}, accept_pause);
-            if (from && is_ours(from) && links_.size() < most_links) {
+            if (from && is_ours(from) && peers_.size() < most_links) {
                 const std::lock_guard hold(lock_);
-                links_.push_back({std::move(from)});
+                peers_.push_back({std::move(from)});
                 changed = true;
             }
         }
         if (changed)
-            after_change();
+            on_peers_changed();
         if (steady_now() - told < used_period || alone)
             continue;
         told = steady_now();
-        const std::string used = to_text(calls_.used());
+        const std::string used = to_text(callbacks_.local_usage());
         const std::lock_guard hold(lock_);
-        for (auto &each : links_)
-            write(each, {{news::kind::used, used}});
+        for (auto &each : peers_)
+            write(each, {{peer_message::kind::usage, used}});
     }
 }
 
-bool handover::hear(link &from) {
+bool hot_restart::read_messages(peer &from) {
     tcp_socket none_expected;
     const std::string text = receive(from.socket, none_expected);
     if (text.empty())
         return errno == EAGAIN;
-    std::vector<news> all;
+    std::vector<peer_message> all;
     try {
         all = read_message(text);
         for (const auto &each : all) {
-            switch (each.what) {
-            case news::kind::hello:
-                from.successor = true;
-                if (!write(from, calls_.state(), listening_))
+            switch (each.type) {
+            case peer_message::kind::hello:
+                from.is_successor = true;
+                if (!write(from, callbacks_.state(), listening_))
                     return false;
                 continue;
-            case news::kind::used:
-                from.used = read_use(each.text);
+            case peer_message::kind::usage:
+                from.usage = read_use(each.text);
                 continue;
-            case news::kind::done: {
+            case peer_message::kind::done: {
                 const std::lock_guard hold(lock_);
-                ++from.done;
-                carried_out_.notify_all();
+                ++from.acknowledged;
+                acknowledged_.notify_all();
                 continue;
             }
-            case news::kind::ready:
+            case peer_message::kind::ready:
                 from.ready = true;
-                after_change();
-                calls_.heard(each);
+                on_peers_changed();
+                callbacks_.on_message(each);
                 break;
             default:
-                calls_.heard(each);
+                callbacks_.on_message(each);
             }
             const std::lock_guard hold(lock_);
-            for (auto &other : links_) // a third process, where one upgrade follows another
-                if (&other != &from && each.what != news::kind::ready && write(other, {each}))
+            for (auto &other : peers_) // a third process, where one upgrade follows another
+                if (&other != &from && each.type != peer_message::kind::ready && write(other, {each}))
                     ++other.sent;
-            write(from, {{news::kind::done, {}}});
+            write(from, {{peer_message::kind::done, {}}});
         }
-    } catch (const bad_text &) { // of another version, say: it is treated as gone
+    } catch (const parse_error &) { // of another version, say: it is treated as gone
         return false;
     }
     return true;
 }
 
-void handover::after_change() {
-    in_use used;
+void hot_restart::on_peers_changed() {
+    shared_usage used;
     bool succeeded = false;
-    for (const auto &each : links_) {
-        used.anybody = true;
-        used.descriptors += each.used.descriptors;
-        used.clients += each.used.clients;
-        succeeded = succeeded || (each.successor && each.ready);
+    for (const auto &each : peers_) {
+        used.has_peers = true;
+        used.descriptors += each.usage.descriptors;
+        used.clients += each.usage.clients;
+        succeeded = succeeded || (each.is_successor && each.ready);
     }
-    succeeded_ = succeeded;
-    calls_.others(used);
+    has_successor_ = succeeded;
+    callbacks_.on_peer_usage(used);
 }
 
-void handover::tell(const news &what) {
+void hot_restart::broadcast(const peer_message &what) {
     std::unique_lock hold(lock_);
-    for (auto &each : links_)
+    for (auto &each : peers_)
         if (write(each, {what}))
             ++each.sent;
-    carried_out_.wait_for(hold, tell_limit, [&] {
-        return std::all_of(links_.begin(), links_.end(),
-                           [](const link &each) { return each.done >= each.sent; });
+    acknowledged_.wait_for(hold, tell_limit, [&] {
+        return std::all_of(peers_.begin(), peers_.end(),
+                           [](const peer &each) { return each.acknowledged >= each.sent; });
     });
 }
 
 // Its room is far beyond what is said in a moment, so a full one is a process that hangs.
-bool handover::write(link &to, const std::vector<news> &what, int with_socket) {
+bool hot_restart::write(peer &to, const std::vector<peer_message> &what, int with_socket) {
     const std::string text = to_message(what);
     iovec part{const_cast<char *>(text.data()), text.size()};
     alignas(cmsghdr) std::array<char, CMSG_SPACE(sizeof(int))> control{};
--- a/src/proxy/stop_schedule.cpp
+++ b/src/proxy/operations/stop_schedule.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "proxy/stop_schedule.hpp"
+#include "proxy/operations/stop_schedule.hpp"
 
 #include <algorithm>
 
@@ -26,10 +26,10 @@
 stop_schedule stop_schedule_for(double longest_deadline) {
     stop_schedule made;
     made.earliest_kill = std::clamp(longest_deadline, 0.0, longest_wait) + kill_delay;
-    made.last_answer = made.earliest_kill - kill_margin;
+    made.respond_by = made.earliest_kill - kill_margin;
     made.close_idle =
-        std::min(std::max(front_time, made.last_answer * serving_share), made.last_answer - answer_time);
-    made.least_idle = std::min(most_idle, (made.last_answer - made.close_idle) * idle_share);
+        std::min(std::max(front_time, made.respond_by * serving_share), made.respond_by - answer_time);
+    made.min_idle = std::min(most_idle, (made.respond_by - made.close_idle) * idle_share);
     made.accept_until = std::max(made.close_idle, front_time);
     return made;
 }
--- a/src/proxy/stop_schedule.hpp
+++ b/src/proxy/operations/stop_schedule.hpp
@@ -12,9 +12,9 @@
 // Seconds after the signal, in this order.
 struct stop_schedule {
     double close_idle = 0;   // connections at rest close, and each answer closes its connection, from here on
-    double least_idle = 0;   // ... once they have been at rest for so long (a span)
+    double min_idle = 0;     // ... once they have been at rest for so long (a span)
     double accept_until = 0; // new connections are accepted at least until here
-    double last_answer = 0;  // every request that was read has its final answer, or its refusal
+    double respond_by = 0;   // every request that was read has its final answer, or its refusal
     double earliest_kill = 0; // SIGKILL may come
 };
 
--- a/src/proxy/open_ids.hpp
+++ b/src/proxy/request/active_request_ids.hpp
@@ -9,21 +9,21 @@
 
 namespace harrierpass::proxy {
 
-class open_ids {
+class active_request_ids {
 public:
     // Holds an id for as long as it lives; empty where the id is open already.
-    class holder {
+    class id_lease {
     public:
-        holder() = default;
-        holder(open_ids &with, std::string id) : with_(&with), id_(std::move(id)) {}
-        holder(holder &&that) noexcept
+        id_lease() = default;
+        id_lease(active_request_ids &with, std::string id) : with_(&with), id_(std::move(id)) {}
+        id_lease(id_lease &&that) noexcept
             : with_(std::exchange(that.with_, nullptr)), id_(std::move(that.id_)) {}
-        holder &operator=(holder &&that) noexcept {
+        id_lease &operator=(id_lease &&that) noexcept {
             std::swap(with_, that.with_);
             std::swap(id_, that.id_);
             return *this;
         }
-        ~holder() {
+        ~id_lease() {
             if (with_ == nullptr)
                 return;
             const std::lock_guard hold(with_->lock_);
@@ -32,13 +32,13 @@
         explicit operator bool() const { return with_ != nullptr; }
 
     private:
-        open_ids *with_ = nullptr;
+        active_request_ids *with_ = nullptr;
         std::string id_;
     };
 
-    holder take(std::string id) {
+    id_lease acquire(std::string id) {
         const std::lock_guard hold(lock_);
-        return ids_.insert(id).second ? holder(*this, std::move(id)) : holder();
+        return ids_.insert(id).second ? id_lease(*this, std::move(id)) : id_lease();
     }
     std::size_t size() {
         const std::lock_guard hold(lock_);
--- a/src/proxy/request_guard.cpp
+++ b/src/proxy/request/request_guard.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "proxy/request_guard.hpp"
+#include "proxy/request/request_guard.hpp"
 
 #include <array>
 
@@ -21,16 +21,16 @@
 }
 
 void invariant_monitor::violated(invariant which, std::string_view request_id) {
-    counters_.add(count::invariants_violated);
+    counters_.add(counter::invariants_violated);
     log_.error("invariant-violated name=", name_of(which), " id=", request_id);
 }
 
 request_guard::~request_guard() {
-    if (owes_answer())
-        monitor_.violated(invariant::answered_before_close, id_);
+    if (owes_response())
+        monitor_.violated(invariant::response_before_close, id_);
 }
 
-void request_guard::read(std::string_view id, const use_case &kind, double deadline) {
+void request_guard::request_read(std::string_view id, const request_class &kind, double deadline) {
     id_ = id;
     kind_ = kind;
     deadline_ = deadline;
@@ -45,17 +45,17 @@
     return false;
 }
 
-bool request_guard::may_send(double now, double told) {
+bool request_guard::may_start_attempt(double now, double told) {
     const bool unsafe = kind_.effect == effect_kind::non_idempotent;
     const bool keyed = kind_.effect == effect_kind::deduplicated;
-    const bool may =
-        holds(!answered_, invariant::send_before_answer) &&
-        holds(!client_left_, invariant::send_for_client) &&
-        holds(now < deadline_, invariant::send_before_deadline) &&
-        holds(told <= deadline_ - now + deadline_slack, invariant::deadline_told) &&
-        holds(!attempt_out_, invariant::one_attempt_at_a_time) &&
-        holds(!(unsafe && may_have_run_), invariant::no_unsafe_repeat) &&
-        holds(!(keyed && may_have_run_) || now < first_sent_ + kind_.window, invariant::repeat_in_window);
+    const bool may = holds(!answered_, invariant::attempt_before_response) &&
+                     holds(!client_left_, invariant::attempt_for_client) &&
+                     holds(now < deadline_, invariant::attempt_before_deadline) &&
+                     holds(told <= deadline_ - now + deadline_slack, invariant::deadline_forwarded) &&
+                     holds(!attempt_out_, invariant::one_attempt_at_a_time) &&
+                     holds(!(unsafe && may_have_run_), invariant::no_unsafe_retry) &&
+                     holds(!(keyed && may_have_run_) || now < first_sent_ + kind_.deduplication_window,
+                           invariant::retry_in_window);
     if (may) {
         attempt_out_ = true;
         last_sent_ = now;
@@ -63,19 +63,19 @@
     return may;
 }
 
-void request_guard::attempt_over(outcome result) {
+void request_guard::attempt_finished(outcome result) {
     if (!attempt_out_)
         return;
     attempt_out_ = false;
-    if (never_ran(result))
+    if (known_not_executed(result))
         return;
     if (!may_have_run_)
         first_sent_ = last_sent_;
     may_have_run_ = true;
 }
 
-bool request_guard::may_answer() {
-    if (!holds(!answered_, invariant::one_answer))
+bool request_guard::may_respond() {
+    if (!holds(!answered_, invariant::one_response))
         return false;
     answered_ = true;
     return true;
--- a/src/proxy/request_guard.hpp
+++ b/src/proxy/request/request_guard.hpp
@@ -14,16 +14,16 @@
 namespace harrierpass::proxy {
 
 enum class invariant : std::uint8_t {
-    answered_before_close, // a request that was read has an answer, or its client has left, when it is over
-    one_answer,            // no second answer
-    send_before_answer,    // no attempt once the answer was begun
-    send_before_deadline,  // no attempt after the client's deadline
-    send_for_client,       // no attempt once the client was seen to have left
-    one_attempt_at_a_time, // no attempt while another one of the request is out
-    no_unsafe_repeat,      // a non-idempotent request that may have run is not sent again
-    repeat_in_window,      // a deduplicated one that may have run, only while servers know it
-    deadline_told,         // the deadline told to a server is what the client has left
-    nothing_left_at_end    // no request is in hand when the process ends
+    response_before_close,   // a request that was read has an answer, or its client has left, when it is over
+    one_response,            // no second answer
+    attempt_before_response, // no attempt once the answer was begun
+    attempt_before_deadline, // no attempt after the client's deadline
+    attempt_for_client,      // no attempt once the client was seen to have left
+    one_attempt_at_a_time,   // no attempt while another one of the request is out
+    no_unsafe_retry,         // a non-idempotent request that may have run is not sent again
+    retry_in_window,         // a deduplicated one that may have run, only while servers know it
+    deadline_forwarded,      // the deadline told to a server is what the client has left
+    nothing_left_at_end      // no request is in hand when the process ends
 };
 const char *name_of(invariant which);
 
@@ -48,26 +48,26 @@
     request_guard &operator=(const request_guard &) = delete;
 
     // The request has been read whole: from now on an answer is owed. `id` has to outlive the guard.
-    void read(std::string_view id, const use_case &kind, double deadline);
+    void request_read(std::string_view id, const request_class &kind, double deadline);
     // Its body comes while it is sent: the deadline counts from the body's end.
     void move_deadline(double deadline) { deadline_ = deadline; }
     // Whether an attempt may begin now; `told`: s that its server is told to have, from now on.
-    bool may_send(double now, double told);
-    void attempt_over(outcome result);
+    bool may_start_attempt(double now, double told);
+    void attempt_finished(outcome result);
     // Whether the answer may be begun.
-    bool may_answer();
-    void client_left() { client_left_ = true; }
+    bool may_respond();
+    void on_client_disconnected() { client_left_ = true; }
 
-    bool owes_answer() const { return read_ && !answered_ && !client_left_; }
-    bool refused() const { return refused_; }           // a step: the request is to end at once
-    bool may_have_run() const { return may_have_run_; } // so that no refusal may promise the opposite
+    bool owes_response() const { return read_ && !answered_ && !client_left_; }
+    bool was_violated() const { return refused_; }           // a step: the request is to end at once
+    bool possibly_executed() const { return may_have_run_; } // so that no refusal may promise the opposite
 
 private:
     bool holds(bool condition, invariant which);
 
     invariant_monitor &monitor_;
     std::string_view id_;
-    use_case kind_;
+    request_class kind_;
     double deadline_ = 0;
     double first_sent_ = 0; // of the attempts that may have run
     double last_sent_ = 0;
--- a/src/proxy/service.cpp
+++ b/src/proxy/service.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "proxy/service.hpp"
 
-#include "proxy/check.hpp"
-#include "setup/setup.hpp"
+#include "proxy/operations/startup_preview.hpp"
+#include "settings/settings_reader.hpp"
 
 #include <cerrno>
 #include <chrono>
@@ -20,8 +20,9 @@
 
 constexpr std::size_t own_sockets = 26; // descriptors: standard ones, listener, discovery, probes, spare
 constexpr std::size_t least_left = 8;   // descriptors for connections, however few there are
-constexpr std::size_t door_sockets = 1 + control::most_callers; // the operators' door, where there is one
-constexpr double client_share = 0.6; // of the others, at most; a held query has a client and no server
+constexpr std::size_t door_sockets =
+    1 + control_server::max_connections; // the operators' door, where there is one
+constexpr double client_share = 0.6;     // of the others, at most; a held query has a client and no server
 constexpr double tight_share = 0.3; // of all descriptors; clients may hold a third, and must find room before
 constexpr std::size_t refused_room = 32; // the listener's connections beyond its most
 constexpr double own_memory_mb = 8;      // code, router, list, log; 2 to 3 were seen
@@ -38,14 +39,15 @@
 std::size_t usable_sockets(const configuration &given) {
     rlimit own{};
     const bool told = getrlimit(RLIMIT_NOFILE, &own) == 0 && own.rlim_cur != RLIM_INFINITY;
-    const std::size_t most = told ? std::min<std::size_t>(given.sockets, own.rlim_cur) : given.sockets;
+    const std::size_t most =
+        told ? std::min<std::size_t>(given.max_descriptors, own.rlim_cur) : given.max_descriptors;
     const std::size_t kept = own_sockets + refused_room + (given.control.empty() ? 0 : door_sockets);
     return left_of(most, kept);
 }
 
 // By the descriptors left for connections, and by memory, of which other processes of this proxy have some.
-std::size_t most_clients(const configuration &given, std::size_t sockets, const in_use &others = {}) {
-    const double own = others.anybody ? 2 * own_memory_mb : own_memory_mb;
+std::size_t most_clients(const configuration &given, std::size_t sockets, const shared_usage &others = {}) {
+    const double own = others.has_peers ? 2 * own_memory_mb : own_memory_mb;
     const double by_memory = (given.memory_mb - own) / client_memory_mb - static_cast<double>(others.clients);
     return static_cast<std::size_t>(
         std::min(std::max(8.0, by_memory), static_cast<double>(sockets) * client_share));
@@ -53,172 +55,182 @@
 
 } // namespace
 
-service::service(configuration given, std::ostream &log_to, level least, router_maker decides)
-    : given_(std::move(given)), log_(log_to, least),
-      desk_(std::make_shared<const configuration>(given_), decides),
-      upstream_(given_.dial_limit, given_.idle_limit, usable_sockets(given_), counters_, log_),
-      catalog_(desk_, upstream_, counters_, log_), prober_(desk_, upstream_, buffers_, counters_),
-      engine_{desk_, upstream_, buffers_, counters_, log_, figures_, [this] { return catalog_.ready(); }} {
+service::service(configuration given, std::ostream &log_to, log_level least, router_factory decides)
+    : configuration_(std::move(given)), log_(log_to, least),
+      dispatcher_(std::make_shared<const configuration>(configuration_), decides),
+      upstream_(configuration_.connect_timeout, configuration_.upstream_idle_timeout,
+                usable_sockets(configuration_), counters_, log_),
+      discovery_(dispatcher_, upstream_, counters_, log_),
+      health_checker_(dispatcher_, upstream_, buffers_, counters_), context_{dispatcher_,
+                                                                             upstream_,
+                                                                             buffers_,
+                                                                             counters_,
+                                                                             log_,
+                                                                             metrics_,
+                                                                             [this] { return discovery_.ready(); }} {
     mallopt(M_ARENA_MAX, 2); // guards the memory limit: an arena for each thread would hold on to much
-    desk_.on_probe = [this](index server) { prober_.start(server); };
-    desk_.on_subscribe = [this] { catalog_.ask(); };
-    catalog_.on_adopted = [this](const configuration &now) {
-        upstream_.use_limits(now.dial_limit, now.idle_limit);
-        figures_.name(now.use_cases);
-        counters_.add(count::adopted);
-        log_.info("adopted discovery=", now.discovery, " use-cases=", now.use_cases.size(),
-                  " peers=", now.decisions.peers,
-                  " origin=", now.decisions.origin_kind != none ? "aside" : "through");
+    dispatcher_.on_check_health = [this](index server) { health_checker_.start(server); };
+    dispatcher_.on_watch_endpoints = [this] { discovery_.poll_now(); };
+    discovery_.on_configuration_applied = [this](const configuration &now) {
+        upstream_.set_timeouts(now.connect_timeout, now.upstream_idle_timeout);
+        metrics_.register_classes(now.request_classes);
+        counters_.add(counter::configurations_applied);
+        log_.info("adopted discovery=", now.discovery, " use-cases=", now.request_classes.size(),
+                  " peers=", now.router.proxy_count,
+                  " origin=", now.router.origin_kind != none ? "aside" : "through");
     };
-    const auto where = parse_address(given_.listen);
+    const auto where = parse_address(configuration_.listen);
     if (!where)
-        throw bad_text{"the address to listen on is not usable"};
+        throw parse_error{"the address to listen on is not usable"};
     tcp_socket socket = take_over(*where);
     const bool inherited = static_cast<bool>(socket);
     // A want of this machine's may pass, and so does the process before that still holds the address.
     for (const double end = steady_now() + listen_patience; !socket;) {
-        socket = listen_on(*where, handover_.has_value());
-        if (socket || !is_own_shortage(errno) || steady_now() >= end)
+        socket = listen_on(*where, hot_restart_.has_value());
+        if (socket || !is_local_shortage(errno) || steady_now() >= end)
             break;
         std::this_thread::sleep_for(listen_pause);
     }
     if (!socket)
-        throw std::system_error(errno, std::generic_category(), "cannot listen on " + given_.listen);
+        throw std::system_error(errno, std::generic_category(), "cannot listen on " + configuration_.listen);
     at_ = local_address(socket);
-    figures_.name(given_.use_cases);
-    catalog_.use_known();
-    listener_.emplace(engine_, std::move(socket), most_clients(given_, usable_sockets(given_)),
-                      static_cast<std::size_t>(given_.sockets * tight_share));
+    metrics_.register_classes(configuration_.request_classes);
+    discovery_.load_known_endpoints();
+    listener_.emplace(context_, std::move(socket),
+                      most_clients(configuration_, usable_sockets(configuration_)),
+                      static_cast<std::size_t>(configuration_.max_descriptors * tight_share));
     try {
-        timer_.emplace([this] { desk_.run_timer([this] { return over(); }); });
-        follower_.emplace([this] { catalog_.run([this] { return over(); }); });
-        link_up();
-        open_door(); // ahead of the acceptor, which ends by end() alone: it may fail
-        acceptor_.emplace([this, inherited] {
+        timer_thread_.emplace([this] { dispatcher_.run_timer([this] { return over(); }); });
+        discovery_thread_.emplace([this] { discovery_.run([this] { return over(); }); });
+        start_hot_restart();
+        start_control_server(); // ahead of the acceptor, which ends by end() alone: it may fail
+        acceptor_thread_.emplace([this, inherited] {
             // Guards clients against a successor that does not know its servers yet. One that is told to end
             // before takes none: the process before serves on.
-            while (inherited && !catalog_.ready()) {
-                if (engine_.draining())
+            while (inherited && !discovery_.ready()) {
+                if (context_.draining())
                     return;
                 wait_on({}, short_wait);
             }
-            if (handover_)
-                handover_->serve();
-            takes_ = true;
+            if (hot_restart_)
+                hot_restart_->start_serving();
+            accepting_ = true;
             listener_->run();
         });
     } catch (...) { // guards against waiting for ever for the threads that did start
         over_ = true;
         throw;
     }
-    log_.info("started name=", given_.name, " listen=", to_text(at_),
-              " clients-at-most=", most_clients(given_, usable_sockets(given_)),
-              " control=", door_ ? to_text(door_->at()) : "none");
+    log_.info("started name=", configuration_.name, " listen=", to_text(at_),
+              " clients-at-most=", most_clients(configuration_, usable_sockets(configuration_)),
+              " control=", control_ ? to_text(control_->at()) : "none");
 }
 
-void service::open_door() {
-    if (given_.control.empty())
+void service::start_control_server() {
+    if (configuration_.control.empty())
         return;
-    const auto where = parse_address(given_.control);
+    const auto where = parse_address(configuration_.control);
     if (!where)
-        throw bad_text{"the operators' address, control, is not usable"};
+        throw parse_error{"the operators' address, control, is not usable"};
     tcp_socket socket = listen_on(*where);
     if (!socket)
-        throw std::system_error(errno, std::generic_category(), "cannot listen on " + given_.control);
-    door_.emplace(std::move(socket),
-                  control_calls{
-                      .ready = [this] { return takes_ && catalog_.ready() && !engine_.draining(); },
-                      .figures =
-                          [this] {
-                              const auto [listed, avoided] = catalog_.standing();
-                              return figures_page(figures_.read(), listed, avoided, desk_.subset());
-                          },
-                      .take_out =
-                          [this](const std::string &id) {
-                              return share(catalog_.take_out(id), {news::kind::out, id});
-                          },
-                      .take_back =
-                          [this](const std::string &id) {
-                              return share(catalog_.take_back(id), {news::kind::back, id});
-                          },
-                      .send_away =
-                          [this](bool away) {
-                              const news what{news::kind::away, away ? "1" : "0"};
-                              operators_say(what);
-                              share(true, what);
-                          },
-                  });
+        throw std::system_error(errno, std::generic_category(), "cannot listen on " + configuration_.control);
+    control_.emplace(
+        std::move(socket),
+        control_handlers{
+            .ready = [this] { return accepting_ && discovery_.ready() && !context_.draining(); },
+            .metrics =
+                [this] {
+                    const auto [listed, avoided] = discovery_.endpoint_counts();
+                    return render_metrics(metrics_.read(), listed, avoided, dispatcher_.subset());
+                },
+            .disable_endpoint =
+                [this](const std::string &id) {
+                    return broadcast_if(discovery_.disable(id), {peer_message::kind::endpoint_disabled, id});
+                },
+            .enable_endpoint =
+                [this](const std::string &id) {
+                    return broadcast_if(discovery_.enable(id), {peer_message::kind::endpoint_enabled, id});
+                },
+            .set_draining =
+                [this](bool away) {
+                    const peer_message what{peer_message::kind::draining, away ? "1" : "0"};
+                    apply_peer_message(what);
+                    broadcast_if(true, what);
+                },
+        });
 }
 
 // The listening socket of the process that serves, with what operators asked of it; empty: nobody hands it
 // over.
 tcp_socket service::take_over(const address &where) {
     const char *const directory = std::getenv("TMPDIR");
-    if (given_.control.empty() || directory == nullptr || *directory == '\0')
+    if (configuration_.control.empty() || directory == nullptr || *directory == '\0')
         return {};
-    handover_.emplace(directory, given_.listen);
-    auto taken = handover_->take();
+    hot_restart_.emplace(directory, configuration_.listen);
+    auto taken = hot_restart_->take_over();
     if (!taken)
         return {};
     auto &[socket, state] = *taken;
-    const bool any_port = given_.listen.ends_with(":0");
+    const bool any_port = configuration_.listen.ends_with(":0");
     if (!any_port && to_text(local_address(socket)) != to_text(where)) {
         log_.warning("handover-refused reason=address");
         return {};
     }
     for (const auto &each : state)
-        operators_say(each);
-    log_.info("taken-over out=", catalog_.hands().out.size(), " away=", engine_.away());
+        apply_peer_message(each);
+    log_.info("taken-over out=", discovery_.overrides().disabled.size(), " away=", context_.is_disabled());
     return std::move(socket);
 }
 
-void service::link_up() {
-    if (!handover_)
+void service::start_hot_restart() {
+    if (!hot_restart_)
         return;
-    listener_->succeeded = [this] { return handover_->succeeded(); };
-    const handover::calls calls{
+    listener_->has_successor = [this] { return hot_restart_->has_successor(); };
+    const hot_restart::callbacks calls{
         .state =
             [this] {
-                std::vector<news> made;
-                const auto hands = catalog_.hands();
-                for (const auto &id : hands.out)
-                    made.push_back({news::kind::out, id});
-                for (const auto &[id, at] : hands.back)
-                    made.push_back({news::kind::back_at, std::to_string(at) + " " + id});
-                made.push_back({news::kind::away, engine_.away() ? "1" : "0"});
-                made.push_back({news::kind::used, to_text(used())});
+                std::vector<peer_message> made;
+                const auto hands = discovery_.overrides();
+                for (const auto &id : hands.disabled)
+                    made.push_back({peer_message::kind::endpoint_disabled, id});
+                for (const auto &[id, at] : hands.enabled_at)
+                    made.push_back({peer_message::kind::endpoint_enabled_at, std::to_string(at) + " " + id});
+                made.push_back({peer_message::kind::draining, context_.is_disabled() ? "1" : "0"});
+                made.push_back({peer_message::kind::usage, to_text(local_usage())});
                 return made;
             },
-        .heard = [this](const news &what) { operators_say(what); },
-        .used = [this] { return used(); },
-        .others = [this](const in_use &used) { leave_others(used); }};
-    handover_->run(calls, listener_->socket());
+        .on_message = [this](const peer_message &what) { apply_peer_message(what); },
+        .local_usage = [this] { return local_usage(); },
+        .on_peer_usage = [this](const shared_usage &used) { apply_peer_usage(used); }};
+    hot_restart_->run(calls, listener_->socket());
 }
 
 // What operators asked of one process of this proxy holds for all.
-void service::operators_say(const news &what) {
-    switch (what.what) {
-    case news::kind::out:
-        catalog_.take_out(what.text, true);
+void service::apply_peer_message(const peer_message &what) {
+    switch (what.type) {
+    case peer_message::kind::endpoint_disabled:
+        discovery_.disable(what.text, true);
         break;
-    case news::kind::back:
-        catalog_.take_back(what.text);
+    case peer_message::kind::endpoint_enabled:
+        discovery_.enable(what.text);
         break;
-    case news::kind::back_at: {
+    case peer_message::kind::endpoint_enabled_at: {
         const auto space = what.text.find(' ');
         if (space != std::string::npos)
-            catalog_.came_back(what.text.substr(space + 1),
-                               parse_number<double>(what.text.substr(0, space), "no time of a return"));
+            discovery_.record_enabled(
+                what.text.substr(space + 1),
+                parse_number<double>(what.text.substr(0, space), "no time of a return"));
         break;
     }
-    case news::kind::away: {
+    case peer_message::kind::draining: {
         const bool away = what.text == "1";
-        if (away != engine_.away())
+        if (away != context_.is_disabled())
             log_.info(away ? "sent-away" : "back-to-work");
-        engine_.away_at = away ? std::min(engine_.away_at.load(), desk_.now()) : never;
+        context_.disabled_at = away ? std::min(context_.disabled_at.load(), dispatcher_.now()) : never;
         break;
     }
-    case news::kind::ready:
+    case peer_message::kind::ready:
         log_.info("succeeded");
         break;
     default:
@@ -227,78 +239,79 @@
 }
 
 // What was carried out here holds for the other processes of this proxy, too.
-bool service::share(bool done, const news &what) {
-    if (done && handover_)
-        handover_->tell(what);
+bool service::broadcast_if(bool done, const peer_message &what) {
+    if (done && hot_restart_)
+        hot_restart_->broadcast(what);
     return done;
 }
 
-in_use service::used() {
-    return {upstream_.in_use() + own_sockets, listener_->connections(), true};
+shared_usage service::local_usage() {
+    return {upstream_.open_connections() + own_sockets, listener_->connections(), true};
 }
 
 // What the other processes of this proxy use of the limits.
-void service::leave_others(const in_use &used) {
-    const std::size_t left = left_of(usable_sockets(given_), used.descriptors);
-    upstream_.use_most(left, desk_.now());
-    listener_->use_most(most_clients(given_, left, used),
-                        static_cast<std::size_t>(given_.sockets * tight_share));
+void service::apply_peer_usage(const shared_usage &used) {
+    const std::size_t left = left_of(usable_sockets(configuration_), used.descriptors);
+    upstream_.set_capacity(left, dispatcher_.now());
+    listener_->set_capacity(most_clients(configuration_, left, used),
+                            static_cast<std::size_t>(configuration_.max_descriptors * tight_share));
 }
 
 // By the settings in force, and by those of a reload that waits for its list: which of them the platform goes
 // by when it kills can't be known here, so the earlier kill counts.
 stop_schedule service::schedule() {
-    double longest = longest_deadline(desk_.given()->statement_timeouts);
-    if (const auto next = catalog_.next())
-        longest = std::min(longest, longest_deadline(next->statement_timeouts));
+    double longest = longest_deadline(dispatcher_.configuration_in_force()->request_timeouts);
+    if (const auto next = discovery_.pending_configuration())
+        longest = std::min(longest, longest_deadline(next->request_timeouts));
     return stop_schedule_for(longest);
 }
 
 void service::end(double grace) {
     stop_schedule stop = schedule();
     stop.close_idle = stop.accept_until = grace;
-    stop.last_answer = std::max(stop.last_answer, grace);
+    stop.respond_by = std::max(stop.respond_by, grace);
     end(stop);
 }
 
 void service::end(const stop_schedule &stop) {
-    if (!acceptor_)
+    if (!acceptor_thread_)
         return;
-    engine_.handed_over = handover_ && handover_->succeeded();
-    log_.info("draining grace=", stop.close_idle, " last-answer=", stop.last_answer,
+    context_.handed_over = hot_restart_ && hot_restart_->has_successor();
+    log_.info("draining grace=", stop.close_idle, " last-answer=", stop.respond_by,
               " earliest-kill=", stop.earliest_kill, " connections=", listener_->connections(),
-              " handed-over=", engine_.handed_over.load());
-    const double now = desk_.now();
-    engine_.least_idle = stop.least_idle;
-    engine_.answer_by = now + stop.last_answer;
-    engine_.accept_until = now + stop.accept_until;
-    engine_.close_at = now + stop.close_idle;
-    engine_.drain_at = now;
-    call(acceptor_->id());
-    acceptor_.reset(); // returns when all is answered
-    if (engine_.ids.size() > 0)
-        engine_.invariants.violated(invariant::nothing_left_at_end, "-");
+              " handed-over=", context_.handed_over.load());
+    const double now = dispatcher_.now();
+    context_.min_idle = stop.min_idle;
+    context_.respond_by = now + stop.respond_by;
+    context_.accept_until = now + stop.accept_until;
+    context_.close_at = now + stop.close_idle;
+    context_.draining_at = now;
+    wake_thread(acceptor_thread_->id());
+    acceptor_thread_.reset(); // returns when all is answered
+    if (context_.ids.size() > 0)
+        context_.invariants.violated(invariant::nothing_left_at_end, "-");
     over_ = true;
-    call(follower_->id());
-    follower_.reset();
-    timer_.reset();
-    door_.reset();
-    handover_.reset();
-    log_.info("ended stopping-for=", engine_.stopping_for(), " earliest-kill=", stop.earliest_kill);
+    wake_thread(discovery_thread_->id());
+    discovery_thread_.reset();
+    timer_thread_.reset();
+    control_.reset();
+    hot_restart_.reset();
+    log_.info("ended stopping-for=", context_.time_since_stop(), " earliest-kill=", stop.earliest_kill);
 }
 
 void service::reload(const configuration &next) {
     // Guards against a file half of which would hold: what the process was started with cannot change.
-    const std::pair<const char *, bool> fixed[] = {{"listen", next.listen == given_.listen},
-                                                   {"name", next.name == given_.name},
-                                                   {"control", next.control == given_.control},
-                                                   {"limits.sockets", next.sockets == given_.sockets},
-                                                   {"limits.memory_mb", next.memory_mb == given_.memory_mb}};
+    const std::pair<const char *, bool> fixed[] = {
+        {"listen", next.listen == configuration_.listen},
+        {"name", next.name == configuration_.name},
+        {"control", next.control == configuration_.control},
+        {"limits.sockets", next.max_descriptors == configuration_.max_descriptors},
+        {"limits.memory_mb", next.memory_mb == configuration_.memory_mb}};
     for (const auto &[field, same] : fixed)
         if (!same)
-            throw bad_text{std::string(field) + " cannot change while the program runs"};
-    catalog_.move_to(std::make_shared<const configuration>(next));
-    call(follower_->id());
+            throw parse_error{std::string(field) + " cannot change while the program runs"};
+    discovery_.reconfigure(std::make_shared<const configuration>(next));
+    wake_thread(discovery_thread_->id());
     log_.info("reloaded discovery=", next.discovery);
 }
 
@@ -313,13 +326,13 @@
     std::ostringstream text;
     text << file.rdbuf();
     if (!file)
-        throw bad_text{"the configuration cannot be read"};
+        throw parse_error{"the configuration cannot be read"};
     return read_configuration(text.str());
 }
 
 } // namespace
 
-int run(int arguments, char **values, router_maker decides) {
+int run(int arguments, char **values, router_factory decides) {
     // Blocked in every thread; taken below, one at a time. SIGPIPE: a log that nobody reads must not kill.
     sigset_t taken;
     sigemptyset(&taken);
@@ -333,19 +346,19 @@
     const char *const least = std::getenv("BALANCER_LOG");
     try {
         if (path == nullptr)
-            throw bad_text{"name a configuration, or set BALANCER_CONFIG"};
+            throw parse_error{"name a configuration, or set BALANCER_CONFIG"};
         if (checks) {
             const auto now = std::chrono::system_clock::now().time_since_epoch();
-            tell_start(configuration_at(path), std::chrono::duration<double>(now).count(), std::cout);
+            preview_startup(configuration_at(path), std::chrono::duration<double>(now).count(), std::cout);
             return 0;
         }
-        service proxy(configuration_at(path), std::clog, level_of(least != nullptr ? least : "info"),
+        service proxy(configuration_at(path), std::clog, parse_log_level(least != nullptr ? least : "info"),
                       decides);
         for (int signal = 0; signal != SIGTERM && signal != SIGINT;) {
             sigwait(&taken, &signal);
             proxy.lines().info("signal-received number=", signal);
             if (signal == SIGUSR1)
-                proxy.counted().print(std::clog);
+                proxy.counts().print(std::clog);
             if (signal != SIGHUP)
                 continue;
             try {
@@ -354,8 +367,8 @@
                 proxy.lines().warning("reload-failed reason=", bad.what());
             }
         }
-        proxy.end();
-        proxy.counted().print(std::clog);
+        proxy.stop();
+        proxy.counts().print(std::clog);
         return 0;
     } catch (const std::exception &failed) {
         std::cerr << "harrierpass: " << failed.what() << '\n';
--- a/src/proxy/service.hpp
+++ b/src/proxy/service.hpp
@@ -2,71 +2,75 @@
 // The proxy as a whole: what a program makes, starts and ends.
 #pragma once
 
-#include "proxy/catalog.hpp"
-#include "proxy/control.hpp"
-#include "proxy/handover.hpp"
-#include "proxy/listener.hpp"
-#include "proxy/probe.hpp"
-#include "proxy/stop_schedule.hpp"
+#include "proxy/client/listener.hpp"
+#include "proxy/discovery/discovery_client.hpp"
+#include "proxy/operations/control_server.hpp"
+#include "proxy/operations/hot_restart.hpp"
+#include "proxy/operations/stop_schedule.hpp"
+#include "proxy/upstream/health_checker.hpp"
 
 namespace harrierpass::proxy {
 
 class service {
 public:
     // Throws bad_text or std::system_error where it cannot start.
-    service(configuration given, std::ostream &log_to, level least,
-            router_maker decides = subsets::make_chooser);
+    service(configuration given, std::ostream &log_to, log_level least,
+            router_factory decides = subsets::make_subset_router);
     ~service(); // a planned end without its grace, if none was asked for before
 
     // A planned stop by the schedule of the deployment (stop_schedule.hpp): serves as before, then closes
     // what is at rest, answers what is left, and returns. `grace`: s until connections close, in place of the
     // schedule's.
-    void end() { end(schedule()); }
+    void stop() { end(schedule()); }
     void end(double grace);
 
     // Takes from a new configuration what may change under load: where discovery is. Throws bad_text, and
     // then all is as before.
     void reload(const configuration &next);
 
-    const counters &counted() const { return counters_; }
+    const counters &counts() const { return counters_; }
     address at() const { return at_; }
-    address door() const { return door_ ? door_->at() : address{}; } // the operators'; without size: none
-    std::size_t server_places() const { return catalog_.places(); }  // records of servers, also of some gone
+    address control_address() const {
+        return control_ ? control_->at() : address{};
+    } // the operators'; without size: none
+    std::size_t endpoint_slots() const {
+        return discovery_.slot_count();
+    } // records of servers, also of some gone
     log &lines() { return log_; }
 
 private:
     bool over() const { return over_.load(); }
     stop_schedule schedule();
     void end(const stop_schedule &stop);
-    void open_door();
+    void start_control_server();
     tcp_socket take_over(const address &where);
-    void link_up();
-    void operators_say(const news &what);
-    bool share(bool done, const news &what);
-    void leave_others(const in_use &used);
-    in_use used();
+    void start_hot_restart();
+    void apply_peer_message(const peer_message &what);
+    bool broadcast_if(bool done, const peer_message &what);
+    void apply_peer_usage(const shared_usage &used);
+    shared_usage local_usage();
 
-    const configuration given_;
+    const configuration configuration_;
     log log_;
     counters counters_;
     buffer_pool buffers_;
-    figures figures_;
-    desk desk_;
-    upstream upstream_;
-    catalog catalog_;
-    prober prober_;
-    engine engine_;
+    request_metrics metrics_;
+    dispatcher dispatcher_;
+    upstream_pool upstream_;
+    discovery_client discovery_;
+    health_checker health_checker_;
+    proxy_context context_;
     address at_;
-    std::atomic<bool> over_ = false, takes_ = false;
+    std::atomic<bool> over_ = false, accepting_ = false;
     std::optional<listener> listener_;
-    std::optional<handover> handover_;
-    std::optional<control> door_;
-    std::optional<joined_thread> timer_, follower_, acceptor_;
+    std::optional<hot_restart> hot_restart_;
+    std::optional<control_server> control_;
+    std::optional<joined_thread> timer_thread_, discovery_thread_, acceptor_thread_;
 };
 
 // The whole program: the configuration named by the first argument or by BALANCER_CONFIG, the level by
 // BALANCER_LOG. SIGHUP: the file is read again. Counters are written on SIGUSR1 and at the end, which SIGTERM
 // or SIGINT bring about.
-int run(int arguments, char **values, router_maker decides = subsets::make_chooser);
+int run(int arguments, char **values, router_factory decides = subsets::make_subset_router);
 
 } // namespace harrierpass::proxy
