--- a/src/proxy/upstream.hpp
+++ b/src/proxy/upstream/upstream_pool.hpp
@@ -17,43 +17,44 @@
 
 namespace harrierpass::proxy {
 
-struct server_connection {
+struct upstream_connection {
     tcp_socket socket;
-    index server = none;
-    double since = 0;  // when it came up, s
-    double used = 0;   // when its last answer came, s
-    double rested = 0; // s that it idled before its last execution
-    index executions = 0;
-    bool own_shortage = false; // without a socket: for want of something on this machine
+    index endpoint = none;
+    double connected_at = 0; // when it came up, s
+    double last_used_at = 0; // when its last answer came, s
+    double idle_time = 0;    // s that it idled before its last execution
+    index attempts = 0;
+    bool local_shortage = false; // without a socket: for want of something on this machine
 };
 
-class upstream {
+class upstream_pool {
 public:
     // `most`: descriptors, for connections in use, kept ones and clients' together.
-    upstream(double dial_limit, double idle_limit, std::size_t most, counters &count, log &lines)
+    upstream_pool(double dial_limit, double idle_limit, std::size_t most, counters &count, log &lines)
         : dial_limit_(dial_limit), idle_limit_(idle_limit), most_(most), counters_(count), log_(lines) {}
 
     // Other limits from now on, s; for connections that idle, too.
-    void use_limits(double dial, double idle) {
+    void set_timeouts(double dial, double idle) {
         dial_limit_ = dial;
         idle_limit_ = idle;
     }
     // Another process holds some: so many are left for all connections together.
-    void use_most(std::size_t most, double now);
-    std::size_t in_use(); // connections, clients' ones too
+    void set_capacity(std::size_t most, double now);
+    std::size_t open_connections(); // connections, clients' ones too
     // So many descriptors are clients' now; what is kept beyond the rest ends.
-    void leave_to_clients(std::size_t count, double now);
+    void reserve_for_clients(std::size_t count, double now);
     // Where a server is. The index may have been another's, to which nothing refers any more.
-    void place(index server, std::string_view id, std::string_view host_port, double started, double now);
+    void set_endpoint(index server, std::string_view id, std::string_view host_port, double started,
+                      double now);
 
     std::string id_of(index server);
 
     // Nothing new is written to a server that is out by hand. When set_out() returns nothing new can be.
-    void set_out(index server, bool out);
+    void set_disabled(index server, bool out);
     // Does `write`, the first of an execution or probe, unless the server is out (false).
-    template <typename Write> bool unless_out(index server, Write write) {
+    template <typename Write> bool unless_disabled(index server, Write write) {
         const std::shared_lock pass(gate_);
-        if (out_.contains(server))
+        if (disabled_.contains(server))
             return false;
         write();
         return true;
@@ -61,33 +62,33 @@
 
     // One that is kept, or a new one; without a socket where none came up in time. `most`: s that the caller
     // has for it, where that is less than the dial limit.
-    server_connection take(index server, double now, double most = forever);
-    server_connection dial_new(index server, double now, double most = forever);
-    void keep(server_connection from, double now);
-    void end(server_connection from, double now, const char *reason);
-    void end_kept(index server, double now, const char *reason); // all that idle there
-    void end_stale(double now);
-    bool end_oldest(double now); // gives a descriptor back; false: none idles
+    upstream_connection acquire(index server, double now, double most = forever);
+    upstream_connection connect_new(index server, double now, double most = forever);
+    void release(upstream_connection from, double now);
+    void close_connection(upstream_connection from, double now, const char *reason);
+    void close_idle_of(index server, double now, const char *reason); // all that idle there
+    void close_stale(double now);
+    bool close_oldest_idle(double now); // gives a descriptor back; false: none idles
 
 private:
-    struct site {
+    struct endpoint_slot {
         std::string id;
         std::optional<address> at;
         double started = 0;
-        std::deque<server_connection> idle; // the latest used last
+        std::deque<upstream_connection> idle; // the latest used last
     };
-    using ended = std::vector<std::pair<server_connection, const char *>>;
-    bool stale(const server_connection &one, const site &to, double now) const;
-    void close(ended &those, double now);
+    using closed_connections = std::vector<std::pair<upstream_connection, const char *>>;
+    bool is_stale(const upstream_connection &one, const endpoint_slot &to, double now) const;
+    void close(closed_connections &those, double now);
 
     std::atomic<double> dial_limit_, idle_limit_;
     std::atomic<std::size_t> most_;
     counters &counters_;
     log &log_;
     std::shared_mutex gate_; // held over first writes, none of which waits
-    std::set<index> out_;
+    std::set<index> disabled_;
     std::mutex lock_;
-    std::deque<site> sites_; // by index
+    std::deque<endpoint_slot> endpoints_; // by index
     std::size_t open_ = 0, clients_ = 0;
 };
 
--- a/src/router/records.hpp
+++ b/src/router/records.hpp
@@ -14,138 +14,144 @@
 
 namespace harrierpass {
 
-struct execution {
-    index server;
-    double sent;
-    bool open = true;
+struct attempt_record {
+    index endpoint;
+    double started_at;
+    bool is_open = true;
     outcome result = outcome::canceled;
-    bool counted = false; // in flight; not while a long body goes there or a long answer comes back
+    bool counts_in_flight = false; // in flight; not while a long body goes there or a long answer comes back
 };
 
-enum class stage : std::uint8_t { held, running, over };
-enum class input : std::uint8_t {
+enum class request_state : std::uint8_t { queued, in_progress, finished };
+enum class request_event : std::uint8_t {
     nothing,
-    arrives,
-    go,
-    sent,
-    wait,
-    hopeless,
-    missed,
-    unrun,
-    doubtful,
-    doubted,
-    done,
-    time_up,
-    left
+    received,
+    dispatch,
+    attempt_started,
+    no_capacity,
+    not_servable,
+    cache_miss,
+    not_executed,
+    possibly_executed,
+    endpoint_ejected,
+    response_finished,
+    deadline_expired,
+    client_disconnected
 };
-enum class health : std::uint8_t { ready, cold, suspect };
-enum class sign : std::uint8_t { nothing, struck, answered, reborn, warmed };
-
-struct query {
-    bool live = false; // until the front may use its index again
-    stage at = stage::over;
-    bool write = false, uploading = false, excess = false, to_origin = false, leads = false, follows = false;
+enum class endpoint_health : std::uint8_t { healthy, warming_up, ejected };
+enum class health_event : std::uint8_t { nothing, failure_detected, answered, restarted, warm_up_finished };
+
+struct request_record {
+    bool is_live = false; // until the front may use its index again
+    request_state state = request_state::finished;
+    bool is_write = false, streams_body = false, over_quota = false, uses_origin = false, leads_fetch = false,
+         awaits_fetch = false;
     index generation = 0;
-    use_case use; // as the settings had it when the query came
-    std::uint64_t key = 0, hash = 0;
-    bool has_key = false, hot = false; // hot: its key alone is more than a server's fair share
-    double end = 0, hold_end = 0;
-    double worth = 0; // importance, less beyond the tenant's share
-    double luck = 0;  // of 1; where it falls between two executions, a limit is open to lower ones
-    index open = 0;
-    std::vector<execution> executions;
+    request_class class_settings; // as the settings had it when the query came
+    std::uint64_t key = 0, ring_position = 0;
+    bool has_key = false, has_hot_key = false; // hot: its key alone is more than a server's fair share
+    double deadline = 0, queue_deadline = 0;
+    double priority_weight = 0; // importance, less beyond the tenant's share
+    double admission_draw = 0;  // of 1; where it falls between two executions, a limit is open to lower ones
+    index open_attempts = 0;
+    std::vector<attempt_record> attempts;
 };
 
 // On executions in flight.
-struct limit {
-    double cap = 0, least = 0;       // executions
-    double target = 0, weight = 0;   // of `slow`, and of a new answer in it
-    double parts = 1;                // warm servers, for each of which `cap` is
-    double slow = 0;                 // mean of answer time / SLO time
-    double base = 0;                 // `slow` at the least cap, where that is no fault of the load
-    double cut_at = 0, heard_at = 0; // s
+struct concurrency_limit {
+    double cap = 0, minimum = 0;                  // executions
+    double latency_target = 0, sample_weight = 0; // of `slow`, and of a new answer in it
+    double warm_endpoints = 1;                    // warm servers, for each of which `cap` is
+    double mean_latency_share = 0;                // mean of answer time / SLO time
+    double baseline_latency_share = 0;       // `slow` at the least cap, where that is no fault of the load
+    double decreased_at = 0, sampled_at = 0; // s
 };
 
-struct server {
+struct endpoint_record {
     std::string id;
-    list_entry as; // as last listed, but for the id
-    health at = health::ready;
-    bool broke = false, died = false; // an execution broke; and then a trial of the suspect failed
-    bool dropped = false;             // by the list, which had not told of a drain; it may still be there
-    index points = 0, laid = 0, active = 0; // points of its own; those on the ring; those in use now
+    endpoint_info info; // as last listed, but for the id
+    endpoint_health health = endpoint_health::healthy;
+    bool attempt_broke = false,
+         health_check_failed = false;   // an execution broke; and then a trial of the suspect failed
+    bool removed_without_drain = false; // by the list, which had not told of a drain; it may still be there
+    index ring_points = 0, placed_ring_points = 0,
+          active_ring_points = 0; // points of its own; those on the ring; those in use now
     index in_flight = 0;
-    limit lim;
-    double bad = 0;               // mean share of broken executions
-    double errors = 0;            // mean share of errors among its answers
-    double quiet = 0, silent = 0; // execution-seconds without a sign of life, and seconds of it
-    double quiet_at = 0;          // up to when
-    double cold_since = 0, full_until = 0;
-    double rest = 0, refused_at = 0; // the origin's: s that it is left alone; when it last refused
-    double told = 0, told_at = 0;    // queries in hand by its last report, and when
-    double condemned_at = 0, trial_at = 0, gap = 0;
+    concurrency_limit limit;
+    double failure_rate = 0; // mean share of broken executions
+    double error_rate = 0;   // mean share of errors among its answers
+    double silent_attempt_time = 0,
+           silent_time = 0;        // execution-seconds without a sign of life, and seconds of it
+    double silence_updated_at = 0; // up to when
+    double warm_up_started_at = 0, overloaded_until = 0;
+    double origin_backoff = 0,
+           last_rejected_at = 0; // the origin's: s that it is left alone; when it last refused
+    double reported_in_flight = 0, reported_at = 0; // queries in hand by its last report, and when
+    double ejected_at = 0, next_health_check_at = 0, health_check_backoff = 0;
 };
 
-struct point {
+struct ring_point {
     std::uint64_t position;
-    index server, order;
-    bool operator<(const point &that) const {
-        return position != that.position ? position < that.position : server < that.server;
+    index endpoint, order;
+    bool operator<(const ring_point &that) const {
+        return position != that.position ? position < that.position : endpoint < that.endpoint;
     }
 };
 
-struct tenant_share {
+struct quota_bucket {
     double rate, tokens, at;
 };
 
-struct due {
+struct request_timer {
     double at;
-    index query, generation;
-    bool operator>(const due &that) const { return at > that.at; }
+    index request, generation;
+    bool operator>(const request_timer &that) const { return at > that.at; }
 };
 
 // All that one router knows: what its settings came to, and what it saw.
-struct memory {
-    memory(std::uint32_t seed, double now) : now_(now), chance_(seed) {}
+struct router_state {
+    router_state(std::uint32_t seed, double now) : now_(now), random_(seed) {}
 
     double now_;
-    std::minstd_rand chance_;
-    std::vector<use_case> use_cases_;
-    allowances allow_;
-    cold_rule cold_;
-    double peers_ = 1, excess_importance_ = 1;
-    double end_margin_ = 0; // s before the statement timeout at which a query gets its final answer
+    std::minstd_rand random_;
+    std::vector<request_class> request_classes_;
+    deployment_constraints constraints_;
+    slow_start_settings slow_start_;
+    double proxy_count_ = 1, over_quota_weight_share_ = 1;
+    double deadline_margin_ = 0; // s before the statement timeout at which a query gets its final answer
     index origin_kind_ = none;
-    index home_zone_ = none; // the proxy's
-    index own_zone_ = none;  // whose servers go first; none: nowhere
-    double cross_price_ = 0; // of an answer's worth
+    index proxy_zone_ = none;     // the proxy's
+    index preferred_zone_ = none; // whose servers go first; none: nowhere
+    double cross_zone_cost_ = 0;  // of an answer's worth
     index origin_ = none;
 
-    std::vector<tenant_share> tenants_;
-    std::vector<query> queries_;
-    std::deque<std::uint64_t> recent_;                 // keys of the latest queries ...
-    std::unordered_map<std::uint64_t, index> seen_;    // ... and how often each is among them; never iterated
-    double own_part_ = 0;                              // of 1; which of a hot key's places this proxy uses
-    std::vector<index> held_;                          // by importance, then age
+    std::vector<quota_bucket> quotas_;
+    std::vector<request_record> requests_;
+    std::deque<std::uint64_t> recent_keys_; // keys of the latest queries ...
+    std::unordered_map<std::uint64_t, index>
+        recent_key_counts_;                            // ... and how often each is among them; never iterated
+    double hot_key_replica_draw_ = 0;                  // of 1; which of a hot key's places this proxy uses
+    std::vector<index> queue_;                         // by importance, then age
     std::unordered_map<std::uint64_t, index> fetches_; // key to the query that fetches it; never iterated
-    std::priority_queue<due, std::vector<due>, std::greater<>> due_;
-    double repeats_ = 0; // further executions that may follow ones that may have run
-
-    std::vector<server> servers_;
-    std::vector<point> ring_;
-    std::vector<index> on_ring_;
-    index usable_ = 0, total_in_flight_ = 0;     // servers to choose from; executions at all of them
-    limit all_;                                  // on executions at all of them
-    double room_ = 0;                            // what it comes to
-    double mean_answer_ = 0;                     // s
-    double errors_ = 0;                          // mean share of errors among all answers
-    std::unordered_map<index, double> quickest_; // s, of a zone's latest answers; never iterated
-    double mean_told_ = 0;                       // queries in hand, by the servers' reports
-    double least_silent_ = 0;                    // s
-    double shortest_ = 0;                        // SLO time, s
-    double swept_ = 0;                           // when the last sweep was, s
-    bool mass_doubt_ = false;                    // so many are suspect that suspicion is not to be trusted
-
-    double call_at_ = 0, call_gap_ = 0; // when the list is asked for next; s between calls
+    std::priority_queue<request_timer, std::vector<request_timer>, std::greater<>> timers_;
+    double retry_budget_ = 0; // further executions that may follow ones that may have run
+
+    std::vector<endpoint_record> endpoints_;
+    std::vector<ring_point> ring_;
+    std::vector<index> ring_endpoints_;
+    index usable_endpoints_ = 0, total_in_flight_ = 0; // servers to choose from; executions at all of them
+    concurrency_limit total_limit_;                    // on executions at all of them
+    double total_capacity_ = 0;                        // what it comes to
+    double mean_response_time_ = 0;                    // s
+    double fleet_error_rate_ = 0;                      // mean share of errors among all answers
+    std::unordered_map<index, double> zone_latency_;   // s, of a zone's latest answers; never iterated
+    double mean_reported_in_flight_ = 0;               // queries in hand, by the servers' reports
+    double minimum_silent_time_ = 0;                   // s
+    double shortest_latency_objective_ = 0;            // SLO time, s
+    double last_sweep_at_ = 0;                         // when the last sweep was, s
+    bool mass_ejection_ = false; // so many are suspect that suspicion is not to be trusted
+
+    double next_poll_at_ = 0, poll_backoff_ = 0; // when the list is asked for next; s between calls
 };
 
 } // namespace harrierpass
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -66,72 +66,72 @@
 constexpr double first_call_gap = 0.5;  // s between calls for the list after a lost one, doubling
 constexpr double most_call_gap = 8;     // s; the list service is never loaded by waiting proxies
 
-class core final : public router, private memory {
+class core final : public router, private router_state {
 public:
-    core(const settings &given, std::uint32_t seed, double now) : memory(seed, now) {
+    core(const router_settings &given, std::uint32_t seed, double now) : router_state(seed, now) {
         take(given);
-        mean_answer_ = least_silent_ / silent_share * slow_share / 2;
-        repeats_ = repeat_burst;
-        own_part_ = chance();
-        call_gap_ = first_call_gap;
-        swept_ = now;
-        all_ = {start_cap, least_cap / peers_, all_slow_share, all_weight};
-        call_at_ = now + chance() * call_gap_;
-        actions.push_back({action_kind::wake, none, none, 0, now + sweep_period});
+        mean_response_time_ = minimum_silent_time_ / silent_share * slow_share / 2;
+        retry_budget_ = repeat_burst;
+        hot_key_replica_draw_ = chance();
+        poll_backoff_ = first_call_gap;
+        last_sweep_at_ = now;
+        total_limit_ = {start_cap, least_cap / proxy_count_, all_slow_share, all_weight};
+        next_poll_at_ = now + chance() * poll_backoff_;
+        actions.push_back({action_kind::set_timer, none, none, 0, now + sweep_period});
     }
 
     // Settings and the figures that follow from them; what was learned stays.
-    void take(const settings &given) {
-        use_cases_ = given.use_cases;
-        allow_ = given.allow;
-        cold_ = given.cold;
-        peers_ = given.peers;
-        excess_importance_ = given.excess_importance;
+    void take(const router_settings &given) {
+        request_classes_ = given.request_classes;
+        constraints_ = given.constraints;
+        slow_start_ = given.slow_start;
+        proxy_count_ = given.proxy_count;
+        over_quota_weight_share_ = given.over_quota_weight_share;
         origin_kind_ = given.origin_kind;
-        home_zone_ = given.own_zone;
-        own_zone_ = given.cross_price > given.origin_price ? given.own_zone : none;
-        cross_price_ = own_zone_ == none ? 0 : given.cross_price;
-        auto by_time = use_cases_;
-        std::ranges::sort(by_time, {}, &use_case::slo_time);
-        shortest_ = by_time.front().slo_time;
-        least_silent_ = by_time[(by_time.size() - 1) / 2].slo_time * silent_share;
-        end_margin_ = std::max(sweep_period, given.tick) + 2 * given.tick;
-        tenants_.clear();
-        for (const double quota : given.tenant_quota)
-            tenants_.push_back({quota / peers_, std::max(tenant_burst, quota / peers_), now_});
+        proxy_zone_ = given.local_zone;
+        preferred_zone_ = given.cross_zone_cost > given.origin_fetch_cost ? given.local_zone : none;
+        cross_zone_cost_ = preferred_zone_ == none ? 0 : given.cross_zone_cost;
+        auto by_time = request_classes_;
+        std::ranges::sort(by_time, {}, &request_class::latency_objective);
+        shortest_latency_objective_ = by_time.front().latency_objective;
+        minimum_silent_time_ = by_time[(by_time.size() - 1) / 2].latency_objective * silent_share;
+        deadline_margin_ =
+            std::max(sweep_period, given.event_batch_interval) + 2 * given.event_batch_interval;
+        quotas_.clear();
+        for (const double quota : given.tenant_quotas)
+            quotas_.push_back({quota / proxy_count_, std::max(tenant_burst, quota / proxy_count_), now_});
     }
 
     // Guards queries in hand against other settings: each keeps its use case, its end and what it was sent
     // to. The whole list follows, by whose kinds and zones the servers are then known.
-    void adopt(double now, const settings &given) override {
+    void update_settings(double now, const router_settings &given) override {
         now_ = now;
         take(given);
-        quickest_.clear(); // zones have other numbers
-        all_.least = least_cap / peers_;
-        for (auto &srv : servers_)
-            srv.lim.least = least_cap / peers_;
-        for (auto &qry : queries_)
-            if (qry.live)
-                qry.to_origin = origin_kind_ != none && (qry.to_origin || qry.write);
+        zone_latency_.clear(); // zones have other numbers
+        total_limit_.minimum = least_cap / proxy_count_;
+        for (auto &srv : endpoints_)
+            srv.limit.minimum = least_cap / proxy_count_;
+        for (auto &qry : requests_)
+            if (qry.is_live)
+                qry.uses_origin = origin_kind_ != none && (qry.uses_origin || qry.is_write);
     }
 
     // Reads a table: the row for a state and an input moves the state on and says what is done.
-    template <typename Table, typename Record, typename Input>
-    Input follow(const Table &table, Record &record, index id, Input in) {
-        const auto row = std::find_if(table.begin(), table.end(), [&](const auto &each) {
-            return each.at == record.at && each.in == in;
-        });
+    template <typename Table, typename State, typename Input>
+    Input follow(const Table &table, State &state, index id, Input in) {
+        const auto row = std::find_if(table.begin(), table.end(),
+                                      [&](const auto &each) { return each.at == state && each.in == in; });
         if (row == table.end())
             return Input::nothing;
-        record.at = row->next;
+        state = row->next;
         return (this->*row->effect)(id);
     }
-    void feed(index id, input in) {
-        while (in != input::nothing)
-            in = follow(query_table, queries_[id], id, in);
+    void feed(index id, request_event in) {
+        while (in != request_event::nothing)
+            in = follow(query_table, requests_[id].state, id, in);
     }
-    void feel(index id, sign in) {
-        follow(server_table, servers_[id], id, in);
+    void feel(index id, health_event in) {
+        follow(server_table, endpoints_[id].health, id, in);
         refresh();
     }
 
@@ -139,36 +139,38 @@
 
     // Which server is the origin, as other settings may name another kind, and what is in flight elsewhere.
     void recount() {
-        if (origin_ != none && !is_origin(servers_[origin_]))
+        if (origin_ != none && !is_origin(endpoints_[origin_]))
             origin_ = none;
-        for (index id = 0; id < servers_.size(); ++id) {
-            auto &srv = servers_[id];
-            srv.lim.target = is_origin(srv) ? origin_share : slow_share;
-            if (is_origin(srv) && (origin_ == none || srv.as.state != listing::gone))
+        for (index id = 0; id < endpoints_.size(); ++id) {
+            auto &srv = endpoints_[id];
+            srv.limit.latency_target = is_origin(srv) ? origin_share : slow_share;
+            if (is_origin(srv) && (origin_ == none || srv.info.state != endpoint_state::removed))
                 origin_ = id;
         }
         total_in_flight_ = 0;
-        for (index id = 0; id < servers_.size(); ++id)
-            total_in_flight_ += id == origin_ ? 0 : servers_[id].in_flight;
+        for (index id = 0; id < endpoints_.size(); ++id)
+            total_in_flight_ += id == origin_ ? 0 : endpoints_[id].in_flight;
     }
 
     // Guards against hashing and sorting a large ring anew at every change: points that stay are left alone.
     void relay() {
-        on_ring_.clear();
-        for (index id = 0; id < servers_.size(); ++id) {
-            auto &srv = servers_[id];
-            if (srv.as.state != listing::ready || is_origin(srv))
-                srv.points = 0;
+        ring_endpoints_.clear();
+        for (index id = 0; id < endpoints_.size(); ++id) {
+            auto &srv = endpoints_[id];
+            if (srv.info.state != endpoint_state::ready || is_origin(srv))
+                srv.ring_points = 0;
             else
-                on_ring_.push_back(id);
+                ring_endpoints_.push_back(id);
         }
-        std::erase_if(ring_, [&](const point &each) { return each.order >= servers_[each.server].points; });
+        std::erase_if(ring_, [&](const ring_point &each) {
+            return each.order >= endpoints_[each.endpoint].ring_points;
+        });
         const auto kept = static_cast<std::ptrdiff_t>(ring_.size());
-        for (index id = 0; id < servers_.size(); ++id) {
-            auto &srv = servers_[id];
-            for (index order = srv.laid; order < srv.points; ++order)
+        for (index id = 0; id < endpoints_.size(); ++id) {
+            auto &srv = endpoints_[id];
+            for (index order = srv.placed_ring_points; order < srv.ring_points; ++order)
                 ring_.push_back({ring_hash(srv.id + ":" + std::to_string(order)), id, order});
-            srv.laid = srv.points;
+            srv.placed_ring_points = srv.ring_points;
         }
         std::sort(ring_.begin() + kept, ring_.end());
         std::inplace_merge(ring_.begin(), ring_.begin() + kept, ring_.end());
@@ -179,76 +181,82 @@
         // Guards against emptying the ring on suspicion: when most look bad, the cause is likely shared. That
         // the list drops many is told by the list.
         std::size_t listed = 0, suspects = 0;
-        for (index id : on_ring_) {
-            listed += !servers_[id].dropped;
-            suspects += !servers_[id].dropped && servers_[id].at == health::suspect;
+        for (index id : ring_endpoints_) {
+            listed += !endpoints_[id].removed_without_drain;
+            suspects +=
+                !endpoints_[id].removed_without_drain && endpoints_[id].health == endpoint_health::ejected;
         }
-        mass_doubt_ = suspects * 2 > listed;
-        usable_ = 0;
-        all_.parts = 0;
-        for (index id : on_ring_) {
-            auto &srv = servers_[id];
-            srv.active = static_cast<index>(std::ceil(srv.points * warmth(srv)));
+        mass_ejection_ = suspects * 2 > listed;
+        usable_endpoints_ = 0;
+        total_limit_.warm_endpoints = 0;
+        for (index id : ring_endpoints_) {
+            auto &srv = endpoints_[id];
+            srv.active_ring_points = static_cast<index>(std::ceil(srv.ring_points * warmth(srv)));
             if (doubted(srv))
                 continue;
-            ++usable_;
-            all_.parts += warmth(srv);
+            ++usable_endpoints_;
+            total_limit_.warm_endpoints += warmth(srv);
         }
-        usable_ = std::max<index>(1, usable_);
-        room_ = all_.cap * all_.parts;
+        usable_endpoints_ = std::max<index>(1, usable_endpoints_);
+        total_capacity_ = total_limit_.cap * total_limit_.warm_endpoints;
     }
 
-    double warmth(const server &srv) const {
-        if (srv.at != health::cold || cold_.warm_time <= 0)
+    double warmth(const endpoint_record &srv) const {
+        if (srv.health != endpoint_health::warming_up || slow_start_.warm_up_time <= 0)
             return 1;
-        const double gone = std::max(0.0, now_ - srv.cold_since) / cold_.warm_time;
-        return std::min(1.0, cold_.start_capacity + (1 - cold_.start_capacity) * gone);
+        const double gone = std::max(0.0, now_ - srv.warm_up_started_at) / slow_start_.warm_up_time;
+        return std::min(1.0,
+                        slow_start_.initial_capacity_share + (1 - slow_start_.initial_capacity_share) * gone);
     }
 
     // Guards "no cold server pushed over": it takes part of its keys by its warmth, and part of their queries
     // by somewhat more than that, so that what all proxies send it keeps under what it can do whatever their
     // number.
-    bool has_room(const server &srv, const query &qry) const {
+    bool has_room(const endpoint_record &srv, const request_record &qry) const {
         // Guards against an origin left alone for want of news: what cut its limit is soon forgotten. But
         // where it said that it holds much, not by all of many proxies at once.
-        const double forgot = is_origin(srv) ? (1 - std::exp((srv.lim.heard_at - now_) / trust_memory)) *
-                                                   std::min(1.0, origin_room / std::max(1.0, srv.told))
-                                             : 0;
-        const double cap = std::max(srv.lim.cap, forgot) * std::min(1.0, cold_haste * warmth(srv));
-        return srv.in_flight + qry.luck < cap && now_ >= srv.full_until;
+        const double forgot = is_origin(srv)
+                                  ? (1 - std::exp((srv.limit.sampled_at - now_) / trust_memory)) *
+                                        std::min(1.0, origin_room / std::max(1.0, srv.reported_in_flight))
+                                  : 0;
+        const double cap = std::max(srv.limit.cap, forgot) * std::min(1.0, cold_haste * warmth(srv));
+        return srv.in_flight + qry.admission_draw < cap && now_ >= srv.overloaded_until;
     }
 
-    bool doubted(const server &srv) const {
-        return srv.at == health::suspect && (!mass_doubt_ || srv.dropped);
+    bool doubted(const endpoint_record &srv) const {
+        return srv.health == endpoint_health::ejected && (!mass_ejection_ || srv.removed_without_drain);
     }
 
-    bool usable(index id, const query &qry) const {
-        const auto &srv = servers_[id];
-        return !doubted(srv) || (!allow_.may_probe && now_ >= srv.trial_at && srv.in_flight == 0 &&
-                                 qry.executions.empty() && qry.use.effect == effect_kind::idempotent);
+    bool usable(index id, const request_record &qry) const {
+        const auto &srv = endpoints_[id];
+        return !doubted(srv) ||
+               (!constraints_.may_check_health && now_ >= srv.next_health_check_at && srv.in_flight == 0 &&
+                qry.attempts.empty() && qry.class_settings.effect == effect_kind::idempotent);
     }
 
     // Walks left from a query's position and collects the first distinct servers that may take it; those in
     // the own zone go first, and where crossing is dear the last place is kept for one of them.
-    std::vector<index> walk(const query &qry) const {
+    std::vector<index> walk(const request_record &qry) const {
         std::vector<index> found;
-        const auto own = [&](index id) { return servers_[id].as.zone == own_zone_; };
+        const auto own = [&](index id) { return endpoints_[id].info.zone == preferred_zone_; };
         const auto tried = [&](index id) {
-            return std::any_of(qry.executions.begin(), qry.executions.end(), [&](const execution &each) {
-                return each.server == id && (each.open || each.result != outcome::miss);
+            return std::any_of(qry.attempts.begin(), qry.attempts.end(), [&](const attempt_record &each) {
+                return each.endpoint == id && (each.is_open || each.result != outcome::cache_miss);
             });
         };
-        bool at_home = cross_price_ < dear_crossing;
-        const std::size_t wanted = std::min<std::size_t>(candidate_count, on_ring_.size());
-        auto at = std::upper_bound(ring_.begin(), ring_.end(), qry.hash,
-                                   [](std::uint64_t key, const point &each) { return key < each.position; });
+        bool at_home = cross_zone_cost_ < dear_crossing;
+        const std::size_t wanted = std::min<std::size_t>(candidate_count, ring_endpoints_.size());
+        auto at =
+            std::upper_bound(ring_.begin(), ring_.end(), qry.ring_position,
+                             [](std::uint64_t key, const ring_point &each) { return key < each.position; });
         for (std::size_t seen = 0; seen < ring_.size() && found.size() < wanted; ++seen) {
             if (at == ring_.begin())
                 at = ring_.end();
             --at;
-            const index id = at->server;
+            const index id = at->endpoint;
             const bool waits = !at_home && !own(id) && found.size() + 1 == wanted && seen < zone_walk;
-            if (waits || at->order >= servers_[id].active || (qry.hot && servers_[id].at == health::cold) ||
+            if (waits || at->order >= endpoints_[id].active_ring_points ||
+                (qry.has_hot_key && endpoints_[id].health == endpoint_health::warming_up) ||
                 std::find(found.begin(), found.end(), id) != found.end() || tried(id) || !usable(id, qry) ||
                 !may_go(qry, id))
                 continue;
@@ -259,28 +267,32 @@
         return found;
     }
 
-    index choose(const query &qry) {
-        if (qry.to_origin) {
-            const bool there = origin_ != none && servers_[origin_].as.state == listing::ready;
-            return there && has_room(servers_[origin_], qry) && may_go(qry, origin_) ? origin_ : none;
+    index choose(const request_record &qry) {
+        if (qry.uses_origin) {
+            const bool there = origin_ != none && endpoints_[origin_].info.state == endpoint_state::ready;
+            return there && has_room(endpoints_[origin_], qry) && may_go(qry, origin_) ? origin_ : none;
         }
         const auto found = walk(qry);
-        const auto most = std::max(spill_floor, std::ceil(spill_factor * (total_in_flight_ + 1.0) / usable_));
-        index best = !found.empty() || on_ring_.empty() ? none : nobody;
+        const auto most =
+            std::max(spill_floor, std::ceil(spill_factor * (total_in_flight_ + 1.0) / usable_endpoints_));
+        index best = !found.empty() || ring_endpoints_.empty() ? none : nobody;
         for (index id : found) {
-            auto &srv = servers_[id];
+            auto &srv = endpoints_[id];
             if (doubted(srv)) {
-                srv.trial_at = now_ + srv.gap;
+                srv.next_health_check_at = now_ + srv.health_check_backoff;
                 return id;
             }
             // Guards against many proxies each holding one execution too many at every server: a part of one
             // is open to that part of the queries, so that the sum over all proxies keeps the limit.
-            if ((total_in_flight_ + qry.luck >= room_ && srv.lim.slow > quick_share) || !has_room(srv, qry))
+            if ((total_in_flight_ + qry.admission_draw >= total_capacity_ &&
+                 srv.limit.mean_latency_share > quick_share) ||
+                !has_room(srv, qry))
                 continue;
-            if (srv.in_flight + 1 <= most && told(srv) <= spill_factor * mean_told_)
+            if (srv.in_flight + 1 <= most && told(srv) <= spill_factor * mean_reported_in_flight_)
                 return id;
-            if (best >= nobody || std::pair(srv.in_flight + 1 > most, told(srv)) <
-                                      std::pair(servers_[best].in_flight + 1 > most, told(servers_[best])))
+            if (best >= nobody ||
+                std::pair(srv.in_flight + 1 > most, told(srv)) <
+                    std::pair(endpoints_[best].in_flight + 1 > most, told(endpoints_[best])))
                 best = id;
         }
         return best;
@@ -289,470 +301,508 @@
     // ---- Queries
 
     // Guards "no effect twice" for every send after the first and, with no server, for a rejection.
-    bool may_go(const query &qry, index id) const { return now_ < go_by(qry, qry.executions.size(), id); }
+    bool may_go(const request_record &qry, index id) const {
+        return now_ < go_by(qry, qry.attempts.size(), id);
+    }
 
     // Until when a query may be sent there after so many executions; 0: never.
-    double go_by(const query &qry, std::size_t after, index id) const {
+    double go_by(const request_record &qry, std::size_t after, index id) const {
         static constexpr double any_time = std::numeric_limits<double>::infinity();
-        const auto &use = qry.use;
-        const auto end = qry.executions.begin() + static_cast<std::ptrdiff_t>(after);
+        const auto &use = qry.class_settings;
+        const auto end = qry.attempts.begin() + static_cast<std::ptrdiff_t>(after);
         const auto doubt = // the earliest execution that is still out or may have run
-            std::find_if(qry.executions.begin(), end,
-                         [](const execution &each) { return each.open || !never_ran(each.result); });
+            std::find_if(qry.attempts.begin(), end, [](const attempt_record &each) {
+                return each.is_open || !known_not_executed(each.result);
+            });
         if (doubt == end || use.effect == effect_kind::idempotent)
             return any_time;
-        const double closes = doubt->sent + use.window - end_margin_;
+        const double closes = doubt->started_at + use.deduplication_window - deadline_margin_;
         if (use.effect == effect_kind::non_idempotent)
             return 0;
-        if (use.group == repeat_group::all || id == none) // the client may come back through any server
-            return use.group == repeat_group::all ? closes : 0;
-        const auto &one = servers_[doubt->server].as, &two = servers_[id].as;
-        return (use.group == repeat_group::zone ? one.zone == two.zone : one.cell == two.cell) ? closes : 0;
+        if (use.scope == deduplication_scope::all ||
+            id == none) // the client may come back through any server
+            return use.scope == deduplication_scope::all ? closes : 0;
+        const auto &one = endpoints_[doubt->endpoint].info, &two = endpoints_[id].info;
+        return (use.scope == deduplication_scope::zone ? one.zone == two.zone : one.cell == two.cell) ? closes
+                                                                                                      : 0;
     }
 
     // Guards what was decided before a dial against what came meanwhile: the window's end, a drain, the end
     // of the query.
-    double write_by(index id) const override {
-        const auto &qry = queries_[id];
-        const auto &last = qry.executions.back();
-        const bool stands = qry.at == stage::running && servers_[last.server].as.state == listing::ready;
-        return stands ? go_by(qry, qry.executions.size() - 1, last.server) : 0;
+    double attempt_write_deadline(index id) const override {
+        const auto &qry = requests_[id];
+        const auto &last = qry.attempts.back();
+        const bool stands = qry.state == request_state::in_progress &&
+                            endpoints_[last.endpoint].info.state == endpoint_state::ready;
+        return stands ? go_by(qry, qry.attempts.size() - 1, last.endpoint) : 0;
     }
 
-    input admit(index id) {
-        const bool full = total_in_flight_ + queries_[id].luck >= room_ * excess_room * excess_importance_;
-        return queries_[id].excess && full ? input::hopeless : input::go;
+    request_event admit(index id) {
+        const bool full = total_in_flight_ + requests_[id].admission_draw >=
+                          total_capacity_ * excess_room * over_quota_weight_share_;
+        return requests_[id].over_quota && full ? request_event::not_servable : request_event::dispatch;
     }
 
-    input place(index id) {
-        auto &qry = queries_[id];
-        if (qry.executions.size() >= allow_.max_executions || now_ >= qry.end)
-            return input::hopeless;
+    request_event place(index id) {
+        auto &qry = requests_[id];
+        if (qry.attempts.size() >= constraints_.max_attempts || now_ >= qry.deadline)
+            return request_event::not_servable;
         // Guards against a miss on the last execution allowed, which nobody could fetch any more.
-        qry.to_origin = qry.to_origin || (origin_ != none && qry.executions.size() > 0 &&
-                                          qry.executions.size() + 1 == allow_.max_executions);
+        qry.uses_origin = qry.uses_origin || (origin_ != none && qry.attempts.size() > 0 &&
+                                              qry.attempts.size() + 1 == constraints_.max_attempts);
         const index to = choose(qry);
         if (to == none || to == nobody)
-            return to == none ? input::wait : input::hopeless;
+            return to == none ? request_event::no_capacity : request_event::not_servable;
         send(id, to);
-        return input::sent;
+        return request_event::attempt_started;
     }
 
     void send(index id, index to) {
-        auto &qry = queries_[id];
-        std::erase(held_, id);
-        ++qry.open;
-        qry.executions.push_back({to, now_});
-        count_in(qry.executions.back(), !qry.uploading);
-        actions.push_back({action_kind::send, id, to, 0, 0});
+        auto &qry = requests_[id];
+        std::erase(queue_, id);
+        ++qry.open_attempts;
+        qry.attempts.push_back({to, now_});
+        count_in(qry.attempts.back(), !qry.streams_body);
+        actions.push_back({action_kind::start_attempt, id, to, 0, 0});
     }
 
     // Guards a server's good name and its limit against the time of a long body or answer, its client's.
-    void count_in(execution &run, bool in) {
-        if (std::exchange(run.counted, in) == in)
+    void count_in(attempt_record &run, bool in) {
+        if (std::exchange(run.counts_in_flight, in) == in)
             return;
-        took(servers_[run.server]);
-        servers_[run.server].in_flight += in ? 1 : -1U;
-        total_in_flight_ += run.server == origin_ ? 0 : in ? 1 : -1U;
-    }
-
-    input queue(index id) {
-        auto &qry = queries_[id];
-        if (std::find(held_.begin(), held_.end(), id) == held_.end()) {
-            const auto less = [&](index one, index two) { return queries_[one].worth > queries_[two].worth; };
-            held_.insert(std::upper_bound(held_.begin(), held_.end(), id, less), id);
-            due_.push({qry.hold_end, id, qry.generation});
+        took(endpoints_[run.endpoint]);
+        endpoints_[run.endpoint].in_flight += in ? 1 : -1U;
+        total_in_flight_ += run.endpoint == origin_ ? 0 : in ? 1 : -1U;
+    }
+
+    request_event queue(index id) {
+        auto &qry = requests_[id];
+        if (std::find(queue_.begin(), queue_.end(), id) == queue_.end()) {
+            const auto less = [&](index one, index two) {
+                return requests_[one].priority_weight > requests_[two].priority_weight;
+            };
+            queue_.insert(std::upper_bound(queue_.begin(), queue_.end(), id, less), id);
+            timers_.push({qry.queue_deadline, id, qry.generation});
         }
-        return now_ >= qry.hold_end ? input::hopeless : input::nothing;
+        return now_ >= qry.queue_deadline ? request_event::not_servable : request_event::nothing;
     }
 
-    input finish(index id) {
+    request_event finish(index id) {
         // Guards "no effect twice" against a wait that is advised beyond the window: the client comes back
         // inside it, where servers still know what may have run.
-        const auto &qry = queries_[id];
-        const double left = go_by(qry, qry.executions.size(), none) - now_;
-        actions.push_back({left > 0 ? action_kind::reject : action_kind::abort, id});
-        actions.back().time = std::min(allow_.max_advice, std::max(0.0, left * advice_share));
+        const auto &qry = requests_[id];
+        const double left = go_by(qry, qry.attempts.size(), none) - now_;
+        actions.push_back({left > 0 ? action_kind::reject_request : action_kind::fail_request, id});
+        actions.back().time = std::min(constraints_.max_retry_after, std::max(0.0, left * advice_share));
         return drop(id);
     }
 
-    input drop(index id) {
-        auto &qry = queries_[id];
-        std::erase(held_, id);
-        if (std::exchange(qry.leads, false))
+    request_event drop(index id) {
+        auto &qry = requests_[id];
+        std::erase(queue_, id);
+        if (std::exchange(qry.leads_fetch, false))
             fetches_.erase(qry.key);
-        if (qry.open == 0) {
-            qry.live = false;
+        if (qry.open_attempts == 0) {
+            qry.is_live = false;
             ++qry.generation;
-            actions.push_back({action_kind::release, id, none, 0, 0});
+            actions.push_back({action_kind::release_request, id, none, 0, 0});
         }
-        return input::nothing;
+        return request_event::nothing;
     }
 
     // Guards servers' good names, and room, against queries that fail wherever they go: many errors, and as
     // many here as elsewhere.
-    bool fails_anywhere(const server &srv) const {
-        return errors_ > fault_share && srv.errors < errors_ + fault_lead;
+    bool fails_anywhere(const endpoint_record &srv) const {
+        return fleet_error_rate_ > fault_share && srv.error_rate < fleet_error_rate_ + fault_lead;
     }
 
-    input repeat(index id) {
-        const auto &qry = queries_[id];
-        const auto &last = qry.executions.back();
-        if (last.result == outcome::error && fails_anywhere(servers_[last.server]))
-            return input::hopeless;
-        if (repeats_ < 1 || (qry.to_origin && !qry.write) || qry.use.effect == effect_kind::non_idempotent)
-            return input::hopeless;
-        --repeats_;
-        return input::go;
+    request_event repeat(index id) {
+        const auto &qry = requests_[id];
+        const auto &last = qry.attempts.back();
+        if (last.result == outcome::error && fails_anywhere(endpoints_[last.endpoint]))
+            return request_event::not_servable;
+        if (retry_budget_ < 1 || (qry.uses_origin && !qry.is_write) ||
+            qry.class_settings.effect == effect_kind::non_idempotent)
+            return request_event::not_servable;
+        --retry_budget_;
+        return request_event::dispatch;
     }
 
     // A miss goes to the origin, once for each key; later ones wait and then ask the cache again.
-    input fetch(index id) {
-        auto &qry = queries_[id];
+    request_event fetch(index id) {
+        auto &qry = requests_[id];
         if (origin_ == none)
-            return input::hopeless;
-        const double until = now_ + qry.use.slo_time * hold_share;
-        qry.hold_end = std::max(qry.hold_end, std::min(until, qry.end));
-        if (qry.has_key && fetches_.contains(qry.key) && qry.executions.size() + 2 <= allow_.max_executions) {
-            qry.follows = true;
-            return input::wait;
+            return request_event::not_servable;
+        const double until = now_ + qry.class_settings.latency_objective * hold_share;
+        qry.queue_deadline = std::max(qry.queue_deadline, std::min(until, qry.deadline));
+        if (qry.has_key && fetches_.contains(qry.key) &&
+            qry.attempts.size() + 2 <= constraints_.max_attempts) {
+            qry.awaits_fetch = true;
+            return request_event::no_capacity;
         }
-        qry.to_origin = true;
-        qry.leads = qry.leads || (qry.has_key && fetches_.emplace(qry.key, id).second);
-        return input::go;
+        qry.uses_origin = true;
+        qry.leads_fetch = qry.leads_fetch || (qry.has_key && fetches_.emplace(qry.key, id).second);
+        return request_event::dispatch;
     }
 
     // The server holding this query is suspect: it is called off, and goes elsewhere when that is heard of.
-    input rescue(index id) {
-        auto &qry = queries_[id];
-        if (qry.use.effect == effect_kind::non_idempotent || repeats_ < 1 || !allow_.may_cancel ||
-            qry.executions.size() >= allow_.max_executions || now_ >= qry.end)
-            return input::nothing;
-        actions.push_back({action_kind::cancel, id, none, static_cast<index>(qry.executions.size() - 1), 0});
-        return input::nothing;
+    request_event rescue(index id) {
+        auto &qry = requests_[id];
+        if (qry.class_settings.effect == effect_kind::non_idempotent || retry_budget_ < 1 ||
+            !constraints_.may_cancel || qry.attempts.size() >= constraints_.max_attempts ||
+            now_ >= qry.deadline)
+            return request_event::nothing;
+        actions.push_back(
+            {action_kind::cancel_attempt, id, none, static_cast<index>(qry.attempts.size() - 1), 0});
+        return request_event::nothing;
     }
 
     // Room may have come free: those who wait longest for what is worth most go first.
     void drain() {
-        const auto count = static_cast<std::ptrdiff_t>(std::min(drain_batch, held_.size()));
-        const std::vector<index> waiting(held_.begin(), held_.begin() + count);
+        const auto count = static_cast<std::ptrdiff_t>(std::min(drain_batch, queue_.size()));
+        const std::vector<index> waiting(queue_.begin(), queue_.begin() + count);
         for (index id : waiting) {
-            auto &qry = queries_[id];
-            qry.follows = qry.follows && fetches_.contains(qry.key);
-            if (!qry.follows)
-                feed(id, input::go);
+            auto &qry = requests_[id];
+            qry.awaits_fetch = qry.awaits_fetch && fetches_.contains(qry.key);
+            if (!qry.awaits_fetch)
+                feed(id, request_event::dispatch);
         }
     }
 
     // Guards against keys hotter than their candidates: by its share of the latest queries, alike at all
     // proxies, a key gets more places on the ring, and each proxy uses one.
     index places_of(std::uint64_t key) {
-        recent_.push_back(key);
-        const double count = ++seen_[key];
-        if (recent_.size() > recent_keys) {
-            const auto oldest = seen_.find(recent_.front());
-            recent_.pop_front();
+        recent_keys_.push_back(key);
+        const double count = ++recent_key_counts_[key];
+        if (recent_keys_.size() > recent_keys) {
+            const auto oldest = recent_key_counts_.find(recent_keys_.front());
+            recent_keys_.pop_front();
             if (--oldest->second == 0)
-                seen_.erase(oldest);
+                recent_key_counts_.erase(oldest);
         }
-        const double servers = (count - 1) / recent_keys * static_cast<double>(on_ring_.size());
+        const double servers = (count - 1) / recent_keys * static_cast<double>(ring_endpoints_.size());
         return static_cast<index>(std::max(1.0, std::floor(hot_factor * servers)));
     }
 
-    void arrived(double now, const new_query &from) override {
+    void on_request(double now, const request_info &from) override {
         now_ = now;
-        if (from.query >= queries_.size())
-            queries_.resize(from.query + 1);
-        auto &qry = queries_[from.query];
+        if (from.request >= requests_.size())
+            requests_.resize(from.request + 1);
+        auto &qry = requests_[from.request];
         const index generation = qry.generation + 1;
-        qry = query{};
+        qry = request_record{};
         qry.generation = generation;
-        qry.live = true;
-        qry.at = stage::held;
-        qry.write = from.write;
-        qry.uploading = from.uploading;
-        qry.to_origin = from.write && origin_kind_ != none;
-        qry.use = use_cases_[from.use_case];
+        qry.is_live = true;
+        qry.state = request_state::queued;
+        qry.is_write = from.is_write;
+        qry.streams_body = from.streams_body;
+        qry.uses_origin = from.is_write && origin_kind_ != none;
+        qry.class_settings = request_classes_[from.class_id];
         qry.has_key = from.has_key;
         qry.key = from.key;
-        const std::uint64_t key = from.has_key ? from.key : (std::uint64_t{chance_()} << 31) + chance_();
+        const std::uint64_t key = from.has_key ? from.key : (std::uint64_t{random_()} << 31) + random_();
         const index places = from.has_key ? places_of(key) : 1;
-        const auto at = static_cast<index>(own_part_ * places);
-        qry.hot = places > 1;
-        qry.hash =
+        const auto at = static_cast<index>(hot_key_replica_draw_ * places);
+        qry.has_hot_key = places > 1;
+        qry.ring_position =
             ring_hash(std::to_string(key) + (at > 0 ? std::string("/").append(std::to_string(at)) : ""));
-        qry.end = from.statement_end - end_margin_;
-        qry.luck = chance();
-        qry.hold_end = now + hold_share * std::min(qry.use.slo_time, qry.end - now);
-        repeats_ = std::min(repeat_burst, repeats_ + repeat_share);
-        if (from.tenant < tenants_.size()) {
-            auto &share = tenants_[from.tenant];
+        qry.deadline = from.deadline - deadline_margin_;
+        qry.admission_draw = chance();
+        qry.queue_deadline =
+            now + hold_share * std::min(qry.class_settings.latency_objective, qry.deadline - now);
+        retry_budget_ = std::min(repeat_burst, retry_budget_ + repeat_share);
+        if (from.tenant < quotas_.size()) {
+            auto &share = quotas_[from.tenant];
             share.tokens =
                 std::min(std::max(tenant_burst, share.rate), share.tokens + share.rate * (now - share.at));
             share.at = now;
-            qry.excess = share.rate > 0 && share.tokens < 1;
-            share.tokens -= qry.excess ? 0 : 1;
+            qry.over_quota = share.rate > 0 && share.tokens < 1;
+            share.tokens -= qry.over_quota ? 0 : 1;
         }
-        qry.worth = qry.use.importance * (qry.excess ? excess_importance_ : 1);
-        due_.push({qry.end, from.query, generation});
-        feed(from.query, input::arrives);
+        qry.priority_weight =
+            qry.class_settings.priority_weight * (qry.over_quota ? over_quota_weight_share_ : 1);
+        timers_.push({qry.deadline, from.request, generation});
+        feed(from.request, request_event::received);
     }
 
-    void ended(double now, index id, index number, outcome result, bool over, bool fetched,
-               const load_report &told) override {
+    void on_attempt_finished(double now, index id, index number, outcome result, bool over, bool fetched,
+                             const load_report &told) override {
         now_ = now;
-        auto &qry = queries_[id];
-        if (number >= qry.executions.size() || !qry.executions[number].open)
+        auto &qry = requests_[id];
+        if (number >= qry.attempts.size() || !qry.attempts[number].is_open)
             return;
-        auto &run = qry.executions[number];
-        auto &srv = servers_[run.server];
-        run.open = false;
+        auto &run = qry.attempts[number];
+        auto &srv = endpoints_[run.endpoint];
+        run.is_open = false;
         run.result = result;
-        --qry.open;
+        --qry.open_attempts;
         took(srv);
-        const double elapsed = now - run.sent, share = elapsed / qry.use.slo_time;
-        const bool answered = is_answer(result), counted = run.counted;
+        const double elapsed = now - run.started_at, share = elapsed / qry.class_settings.latency_objective;
+        const bool answered = is_answer(result), counted = run.counts_in_flight;
         heard(srv, told);
         if (answered)
-            srv.quiet = srv.silent = 0;
+            srv.silent_attempt_time = srv.silent_time = 0;
         const bool broken = result == outcome::reset || result == outcome::connect_error;
-        srv.broke = srv.broke || broken;
-        if (answered && result != outcome::queue_full) {
+        srv.attempt_broke = srv.attempt_broke || broken;
+        if (answered && result != outcome::overloaded) {
             const double error = result == outcome::error ? 1 : 0;
-            srv.errors += error_weight * (error - srv.errors);
-            errors_ += fault_weight * (error - errors_);
+            srv.error_rate += error_weight * (error - srv.error_rate);
+            fleet_error_rate_ += fault_weight * (error - fleet_error_rate_);
         }
         const double worse = broken                                             ? bad_weight
                              : result == outcome::error && !fails_anywhere(srv) ? error_weight
                                                                                 : 0;
-        srv.bad += worse > 0 ? worse * (1 - srv.bad) : answered ? -bad_weight * srv.bad : 0;
-        if (counted && (result == outcome::completed || result == outcome::miss)) {
-            mean_answer_ += slow_weight / 4 * (elapsed - mean_answer_);
-            srv.rest /= 2;
+        srv.failure_rate += worse > 0  ? worse * (1 - srv.failure_rate)
+                            : answered ? -bad_weight * srv.failure_rate
+                                       : 0;
+        if (counted && (result == outcome::completed || result == outcome::cache_miss)) {
+            mean_response_time_ += slow_weight / 4 * (elapsed - mean_response_time_);
+            srv.origin_backoff /= 2;
             // Guards the use case with the least time: all come to the one origin, and wait for each other.
-            learn(srv, run.sent, run.server == origin_ ? elapsed / shortest_ : share, fetched);
-        } else if (run.server == origin_ &&
-                   (result == outcome::queue_full || result == outcome::connect_error)) {
+            learn(srv, run.started_at,
+                  run.endpoint == origin_ ? elapsed / shortest_latency_objective_ : share, fetched);
+        } else if (run.endpoint == origin_ &&
+                   (result == outcome::overloaded || result == outcome::connect_error)) {
             // Guards an origin that refuses or is down against being asked at once, again and by all, and
             // caches against an origin that is left alone with room: the rest doubles with each refusal and
             // halves with each answer. What was out together was refused once.
-            if (run.sent >= srv.refused_at)
-                srv.rest = std::clamp(2 * srv.rest, mean_answer_, trust_memory);
-            srv.refused_at = now;
-            srv.full_until = now + srv.rest * (0.5 + chance());
-            learn(srv, run.sent, 1, false);
-        } else if (result == outcome::queue_full) {
-            srv.full_until = now + mean_answer_; // it keeps itself from harm, and costs next to nothing
-        } else if (result == outcome::timed_out && srv.quiet >= elapsed && share > srv.lim.slow) {
-            learn(srv, run.sent, share, false); // guards against a jam whose answers never come to be seen
+            if (run.started_at >= srv.last_rejected_at)
+                srv.origin_backoff = std::clamp(2 * srv.origin_backoff, mean_response_time_, trust_memory);
+            srv.last_rejected_at = now;
+            srv.overloaded_until = now + srv.origin_backoff * (0.5 + chance());
+            learn(srv, run.started_at, 1, false);
+        } else if (result == outcome::overloaded) {
+            srv.overloaded_until =
+                now + mean_response_time_; // it keeps itself from harm, and costs next to nothing
+        } else if (result == outcome::timed_out && srv.silent_attempt_time >= elapsed &&
+                   share > srv.limit.mean_latency_share) {
+            learn(srv, run.started_at, share,
+                  false); // guards against a jam whose answers never come to be seen
         }
         count_in(run, false);
-        if (run.server == origin_)
-            srv.bad = 0; // there is no other origin to turn to
-        else if (srv.at == health::suspect && answered && result != outcome::queue_full)
-            feel(run.server, srv.died && run.sent > srv.condemned_at ? sign::reborn : sign::answered);
-        else if (srv.bad > bad_limit && worse > 0 && run.sent >= srv.condemned_at)
-            feel(run.server, sign::struck);
-        feed(id, over || qry.at == stage::over ? input::done
-                 : result == outcome::miss     ? input::missed
-                 : never_ran(result)           ? input::unrun
-                                               : input::doubtful);
+        if (run.endpoint == origin_)
+            srv.failure_rate = 0; // there is no other origin to turn to
+        else if (srv.health == endpoint_health::ejected && answered && result != outcome::overloaded)
+            feel(run.endpoint, srv.health_check_failed && run.started_at > srv.ejected_at
+                                   ? health_event::restarted
+                                   : health_event::answered);
+        else if (srv.failure_rate > bad_limit && worse > 0 && run.started_at >= srv.ejected_at)
+            feel(run.endpoint, health_event::failure_detected);
+        feed(id, over || qry.state == request_state::finished ? request_event::response_finished
+                 : result == outcome::cache_miss              ? request_event::cache_miss
+                 : known_not_executed(result)                 ? request_event::not_executed
+                                                              : request_event::possibly_executed);
         drain();
     }
 
-    void begun(double now, index id, bool fetched) override {
+    void on_response_started(double now, index id, bool fetched) override {
         now_ = now;
-        auto &qry = queries_[id];
-        auto &run = qry.executions.back();
-        qry.end = std::numeric_limits<double>::infinity();
+        auto &qry = requests_[id];
+        auto &run = qry.attempts.back();
+        qry.deadline = std::numeric_limits<double>::infinity();
         count_in(run, false);
-        servers_[run.server].quiet = servers_[run.server].silent = 0;
-        learn(servers_[run.server], run.sent, (now - run.sent) / qry.use.slo_time, fetched);
+        endpoints_[run.endpoint].silent_attempt_time = endpoints_[run.endpoint].silent_time = 0;
+        learn(endpoints_[run.endpoint], run.started_at,
+              (now - run.started_at) / qry.class_settings.latency_objective, fetched);
         drain();
     }
 
-    void written(double now, index id, double statement_end) override {
+    void on_request_body_sent(double now, index id, double statement_end) override {
         now_ = now;
-        auto &qry = queries_[id];
-        qry.end = statement_end - end_margin_;
-        due_.push({qry.end, id, qry.generation});
-        qry.executions.back().sent = now;
-        count_in(qry.executions.back(), true);
+        auto &qry = requests_[id];
+        qry.deadline = statement_end - deadline_margin_;
+        timers_.push({qry.deadline, id, qry.generation});
+        qry.attempts.back().started_at = now;
+        count_in(qry.attempts.back(), true);
     }
 
-    bool avoids(index id) const override { return doubted(servers_[id]); }
-    bool suspects(index id) const override { return servers_[id].at == health::suspect; }
+    bool avoids_endpoint(index id) const override { return doubted(endpoints_[id]); }
+    bool is_ejected(index id) const override { return endpoints_[id].health == endpoint_health::ejected; }
 
-    void left(double now, index id) override {
+    void on_client_disconnected(double now, index id) override {
         now_ = now;
-        feed(id, input::left);
+        feed(id, request_event::client_disconnected);
     }
 
     // ---- Servers' health and cold starts
 
     // A limit on what is in flight grows by one for a limit's worth of good answers and is cut by a share.
     // What was sent before the last cut says nothing of the limit in force.
-    void grow_or_cut(limit &lim, double sent, double share, bool reached, index held) {
-        if (sent < lim.cut_at)
+    void grow_or_cut(concurrency_limit &lim, double sent, double share, bool reached, index held) {
+        if (sent < lim.decreased_at)
             return;
         // Old news weighs less: of many servers each is heard of rarely.
-        lim.slow +=
-            std::max(lim.weight, 1 - std::exp((lim.heard_at - now_) / news_memory)) * (share - lim.slow);
-        lim.heard_at = now_;
-        if (lim.slow <= std::max(lim.target, base_factor * lim.base)) {
-            lim.cap += reached ? 1 / std::max(1.0, lim.cap * lim.parts) / lim.parts : 0;
+        lim.mean_latency_share +=
+            std::max(lim.sample_weight, 1 - std::exp((lim.sampled_at - now_) / news_memory)) *
+            (share - lim.mean_latency_share);
+        lim.sampled_at = now_;
+        if (lim.mean_latency_share <=
+            std::max(lim.latency_target, base_factor * lim.baseline_latency_share)) {
+            lim.cap += reached ? 1 / std::max(1.0, lim.cap * lim.warm_endpoints) / lim.warm_endpoints : 0;
         } else {
-            lim.cap = std::max(lim.least, std::min(lim.cap, (held + 1) / lim.parts) *
-                                              std::min(cut_share, lim.target / lim.slow));
-            lim.cut_at = now_;
+            lim.cap =
+                std::max(lim.minimum, std::min(lim.cap, (held + 1) / lim.warm_endpoints) *
+                                          std::min(cut_share, lim.latency_target / lim.mean_latency_share));
+            lim.decreased_at = now_;
         }
     }
 
     // Guards the limit on all against a slow way to a zone: by so much its quickest answers of late lag
     // behind those at home, and that is no load. Of an answer that took so long, s.
     double way(index zone, double took) {
-        if (zone == none || home_zone_ == none)
+        if (zone == none || proxy_zone_ == none)
             return 0;
-        auto &here = quickest_[zone];
+        auto &here = zone_latency_[zone];
         here = std::min(took, here + way_weight * (took - here));
-        return std::clamp(here - quickest_[home_zone_], 0.0, took);
+        return std::clamp(here - zone_latency_[proxy_zone_], 0.0, took);
     }
 
     // An answer that took this share of the SLO time: what it says of its server and of the whole.
-    void learn(server &srv, double sent, double share, bool fetched) {
-        auto &lim = srv.lim;
+    void learn(endpoint_record &srv, double sent, double share, bool fetched) {
+        auto &lim = srv.limit;
         if (is_origin(srv)) {
             // Guards against starving an origin that is slow of itself: what is slow at the least cap is not
             // slow by its load, and a late fetch still fills the cache.
             // That is not known while it refuses, nor where it says that it holds much for other proxies.
-            const bool alone = lim.cap <= lim.least && now_ >= srv.full_until && srv.told < origin_room;
-            lim.base = alone ? lim.slow : std::min(lim.base, lim.slow);
+            const bool alone = lim.cap <= lim.minimum && now_ >= srv.overloaded_until &&
+                               srv.reported_in_flight < origin_room;
+            lim.baseline_latency_share =
+                alone ? lim.mean_latency_share : std::min(lim.baseline_latency_share, lim.mean_latency_share);
             return grow_or_cut(lim, sent, share, srv.in_flight + 1 > lim.cap, srv.in_flight);
         }
-        const bool all_reached = total_in_flight_ + 1 > room_;
+        const bool all_reached = total_in_flight_ + 1 > total_capacity_;
         if (!fetched) // an answer that had to come from the origin says little of the server itself
             grow_or_cut(lim, sent, share, srv.in_flight + 1 > lim.cap || all_reached, srv.in_flight);
         // Guards against jams of which each of many proxies sees too little at any one server. A time-out,
         // with silence before it, says nothing of the other servers, and a few slow fetches little.
-        if (srv.at == health::ready && srv.quiet <= 0) {
+        if (srv.health == endpoint_health::healthy && srv.silent_attempt_time <= 0) {
             const double took = now_ - sent,
-                         load = took > 0 ? share * (1 - way(srv.as.zone, took) / took) : share;
-            grow_or_cut(all_, sent, fetched ? std::min(load, fetch_share) : load, all_reached,
+                         load = took > 0 ? share * (1 - way(srv.info.zone, took) / took) : share;
+            grow_or_cut(total_limit_, sent, fetched ? std::min(load, fetch_share) : load, all_reached,
                         total_in_flight_);
         }
     }
 
     // What a server says of its load, if it does.
-    void heard(server &srv, const load_report &report) {
-        if (report.held < 0)
+    void heard(endpoint_record &srv, const load_report &report) {
+        if (report.in_flight < 0)
             return;
-        srv.told = report.held;
-        srv.told_at = now_;
+        srv.reported_in_flight = report.in_flight;
+        srv.reported_at = now_;
         if (!is_origin(srv))
-            mean_told_ += slow_weight / 4 * (srv.told - mean_told_);
+            mean_reported_in_flight_ += slow_weight / 4 * (srv.reported_in_flight - mean_reported_in_flight_);
     }
     // Old news is drawn to the mean. A cold server's counts for what it can do, as it must be spared sooner.
-    double told(const server &srv) const {
-        const double held =
-            mean_told_ + (srv.told - mean_told_) * std::exp((srv.told_at - now_) / news_memory);
+    double told(const endpoint_record &srv) const {
+        const double held = mean_reported_in_flight_ + (srv.reported_in_flight - mean_reported_in_flight_) *
+                                                           std::exp((srv.reported_at - now_) / news_memory);
         return held / warmth(srv);
     }
 
-    sign condemn(index id) {
-        auto &srv = servers_[id];
-        const bool silent = srv.quiet > quiet_limit / 4 * mean_answer_; // else what is out may be answered
+    health_event condemn(index id) {
+        auto &srv = endpoints_[id];
+        const bool silent = srv.silent_attempt_time >
+                            quiet_limit / 4 * mean_response_time_; // else what is out may be answered
         // Guards against a server that answers probes and else errors only: its next trial is later each
         // time.
-        const bool relapse = !silent && !srv.broke && now_ < srv.condemned_at + 2 * most_trial_gap;
-        srv.gap = relapse ? std::max(srv.gap, trial_gap / 2) : trial_gap / 2;
-        srv.condemned_at = now_;
+        const bool relapse = !silent && !srv.attempt_broke && now_ < srv.ejected_at + 2 * most_trial_gap;
+        srv.health_check_backoff =
+            relapse ? std::max(srv.health_check_backoff, trial_gap / 2) : trial_gap / 2;
+        srv.ejected_at = now_;
         back_off(id);
-        srv.died = false; // until a trial fails as well: connections break at a healthy server, too
+        srv.health_check_failed =
+            false; // until a trial fails as well: connections break at a healthy server, too
         refresh();
-        for (index each = 0; each < queries_.size(); ++each)
-            if (const auto &qry = queries_[each]; silent && qry.live && qry.at == stage::running)
-                if (const auto &last = qry.executions.back(); last.open && last.server == id)
-                    feed(each, input::doubted);
-        return sign::nothing;
+        for (index each = 0; each < requests_.size(); ++each)
+            if (const auto &qry = requests_[each];
+                silent && qry.is_live && qry.state == request_state::in_progress)
+                if (const auto &last = qry.attempts.back(); last.is_open && last.endpoint == id)
+                    feed(each, request_event::endpoint_ejected);
+        return health_event::nothing;
     }
 
-    sign back_off(index id) {
-        auto &srv = servers_[id];
-        srv.died = srv.broke;
-        srv.gap = std::min(most_trial_gap, srv.gap * 2);
-        srv.trial_at = now_ + srv.gap;
-        return sign::nothing;
+    health_event back_off(index id) {
+        auto &srv = endpoints_[id];
+        srv.health_check_failed = srv.attempt_broke;
+        srv.health_check_backoff = std::min(most_trial_gap, srv.health_check_backoff * 2);
+        srv.next_health_check_at = now_ + srv.health_check_backoff;
+        return health_event::nothing;
     }
 
-    sign restore(index id) {
-        auto &srv = servers_[id];
-        srv.bad = srv.quiet = srv.silent = 0;
-        srv.broke = srv.died = false;
-        return sign::nothing;
+    health_event restore(index id) {
+        auto &srv = endpoints_[id];
+        srv.failure_rate = srv.silent_attempt_time = srv.silent_time = 0;
+        srv.attempt_broke = srv.health_check_failed = false;
+        return health_event::nothing;
     }
 
-    sign chill(index id) {
+    health_event chill(index id) {
         restore(id);
-        auto &srv = servers_[id];
-        srv.cold_since = now_;
-        srv.lim.cap = cold_cap;
-        srv.lim.slow = 0;
-        return sign::nothing;
+        auto &srv = endpoints_[id];
+        srv.warm_up_started_at = now_;
+        srv.limit.cap = cold_cap;
+        srv.limit.mean_latency_share = 0;
+        return health_event::nothing;
     }
 
-    void probed(double now, index id, bool answered, const load_report &told) override {
+    void on_health_check_finished(double now, index id, bool answered, const load_report &told) override {
         now_ = now;
-        heard(servers_[id], told);
-        if (servers_[id].at == health::suspect)
-            feel(id, !answered ? sign::struck : servers_[id].died ? sign::reborn : sign::answered);
+        heard(endpoints_[id], told);
+        if (endpoints_[id].health == endpoint_health::ejected)
+            feel(id, !answered                            ? health_event::failure_detected
+                     : endpoints_[id].health_check_failed ? health_event::restarted
+                                                          : health_event::answered);
     }
 
     // ---- The list
 
-    void listed(double now, list_kind kind, std::span<const list_entry> entries) override {
+    void on_endpoints_updated(double now, endpoint_update_kind kind,
+                              std::span<const endpoint_info> entries) override {
         now_ = now;
-        if (kind == list_kind::lost) {
-            call_at_ = now + call_gap_ * (0.5 + chance());
-            call_gap_ = std::min({most_call_gap, allow_.must_ask_in, call_gap_ * 2});
+        if (kind == endpoint_update_kind::poll_failed) {
+            next_poll_at_ = now + poll_backoff_ * (0.5 + chance());
+            poll_backoff_ = std::min({most_call_gap, constraints_.max_poll_interval, poll_backoff_ * 2});
             return;
         }
-        if (kind != list_kind::cached && kind != list_kind::own) {
-            call_at_ = std::numeric_limits<double>::infinity(); // subscribed, until it is lost
-            call_gap_ = first_call_gap;
+        if (kind != endpoint_update_kind::cached_snapshot && kind != endpoint_update_kind::local) {
+            next_poll_at_ = std::numeric_limits<double>::infinity(); // subscribed, until it is lost
+            poll_backoff_ = first_call_gap;
         }
         std::vector<index> ready; // so far
-        for (index id = 0; id < servers_.size() && allow_.drain_binds_alone; ++id)
-            if (servers_[id].as.state == listing::ready && !is_origin(servers_[id]))
+        for (index id = 0; id < endpoints_.size() && constraints_.removal_is_advisory; ++id)
+            if (endpoints_[id].info.state == endpoint_state::ready && !is_origin(endpoints_[id]))
                 ready.push_back(id);
-        if (is_whole(kind)) // what it leaves out is gone
-            for (auto &srv : servers_)
-                srv.as.state = listing::gone;
+        if (is_snapshot(kind)) // what it leaves out is gone
+            for (auto &srv : endpoints_)
+                srv.info.state = endpoint_state::removed;
         for (const auto &entry : entries) {
-            if (entry.server >= servers_.size())
-                servers_.resize(entry.server + 1);
-            auto &srv = servers_[entry.server];
+            if (entry.endpoint >= endpoints_.size())
+                endpoints_.resize(entry.endpoint + 1);
+            auto &srv = endpoints_[entry.endpoint];
             const bool fresh = srv.id != entry.id; // also where the index was another's, which is gone
             if (fresh) {
                 srv = {};
                 srv.id = entry.id;
-                srv.lim = {std::max(1.0, start_cap / peers_), least_cap / peers_, slow_share, slow_weight};
-                srv.lim.slow = slow_share; // not known to be quick
-                srv.quiet_at = now;
+                srv.limit = {std::max(1.0, start_cap / proxy_count_), least_cap / proxy_count_, slow_share,
+                             slow_weight};
+                srv.limit.mean_latency_share = slow_share; // not known to be quick
+                srv.silence_updated_at = now;
             }
-            const bool restarted = entry.started > srv.as.started;
-            srv.as = entry;
-            srv.as.id = {}; // it is the caller's
-            srv.dropped = srv.dropped && entry.state == listing::gone;
-            const double points = (allow_.weights_live ? 1 : entry.weight) * points_per_weight;
-            srv.points = static_cast<index>(std::clamp(std::round(points), 1.0, most_points));
-            if (!is_origin(srv) && (restarted || (fresh && (!is_whole(kind) || !on_ring_.empty()))) &&
-                now - entry.started < cold_.warm_time) {
-                feel(entry.server, sign::reborn);
-                srv.cold_since = entry.started > 0 ? std::min(entry.started, now) : now;
+            const bool restarted = entry.started_at > srv.info.started_at;
+            srv.info = entry;
+            srv.info.id = {}; // it is the caller's
+            srv.removed_without_drain = srv.removed_without_drain && entry.state == endpoint_state::removed;
+            const double points = (constraints_.weights_are_dynamic ? 1 : entry.weight) * points_per_weight;
+            srv.ring_points = static_cast<index>(std::clamp(std::round(points), 1.0, most_points));
+            if (!is_origin(srv) &&
+                (restarted || (fresh && (!is_snapshot(kind) || !ring_endpoints_.empty()))) &&
+                now - entry.started_at < slow_start_.warm_up_time) {
+                feel(entry.endpoint, health_event::restarted);
+                srv.warm_up_started_at = entry.started_at > 0 ? std::min(entry.started_at, now) : now;
             }
         }
         for (const index id : ready)
-            if (servers_[id].as.state == listing::gone)
+            if (endpoints_[id].info.state == endpoint_state::removed)
                 drop_from_list(id);
         recount();
         relay();
@@ -763,47 +813,50 @@
     // Guards against a list that is late or untrue: what it drops without a drain is a suspect whose process
     // died, and gets work again, as cold, once it answers a trial.
     void drop_from_list(index id) {
-        auto &srv = servers_[id];
-        srv.as.state = listing::ready;
-        if (std::exchange(srv.dropped, true))
+        auto &srv = endpoints_[id];
+        srv.info.state = endpoint_state::ready;
+        if (std::exchange(srv.removed_without_drain, true))
             return; // dropped before; what it did since counts
-        if (srv.at != health::suspect)
-            feel(id, sign::struck);
-        srv.died = true;
+        if (srv.health != endpoint_health::ejected)
+            feel(id, health_event::failure_detected);
+        srv.health_check_failed = true;
     }
 
     // The periodic work, then all that has come due.
-    void woken(double now) override {
+    void on_timer(double now) override {
         now_ = now;
-        actions.push_back({action_kind::wake, none, none, 0, now + sweep_period});
-        if (allow_.must_subscribe && now >= call_at_) {
-            actions.push_back({action_kind::subscribe});
-            call_at_ = now + std::min(most_call_gap, allow_.must_ask_in); // mostly answered before this
+        actions.push_back({action_kind::set_timer, none, none, 0, now + sweep_period});
+        if (constraints_.watch_required && now >= next_poll_at_) {
+            actions.push_back({action_kind::watch_endpoints});
+            next_poll_at_ =
+                now + std::min(most_call_gap, constraints_.max_poll_interval); // mostly answered before this
         }
         // Guards the servers' good names against a pause of this proxy: what came meanwhile is not read yet.
-        const double late = std::max(0.0, now - std::exchange(swept_, now) - 2 * sweep_period);
-        for (const index id : on_ring_) {
-            auto &srv = servers_[id];
-            srv.quiet_at = std::min(now, srv.quiet_at + late);
+        const double late = std::max(0.0, now - std::exchange(last_sweep_at_, now) - 2 * sweep_period);
+        for (const index id : ring_endpoints_) {
+            auto &srv = endpoints_[id];
+            srv.silence_updated_at = std::min(now, srv.silence_updated_at + late);
             took(srv);
-            if (srv.at != health::suspect && srv.quiet > quiet_limit * mean_answer_ &&
-                srv.silent > least_silent_)
-                feel(id, sign::struck);
-            if (srv.at == health::cold && warmth(srv) >= 1)
-                feel(id, sign::warmed);
-            if (srv.at == health::suspect && allow_.may_probe && now >= srv.trial_at) {
-                actions.push_back({action_kind::probe, none, id, 0, 0});
-                srv.trial_at = now + srv.gap;
+            if (srv.health != endpoint_health::ejected &&
+                srv.silent_attempt_time > quiet_limit * mean_response_time_ &&
+                srv.silent_time > minimum_silent_time_)
+                feel(id, health_event::failure_detected);
+            if (srv.health == endpoint_health::warming_up && warmth(srv) >= 1)
+                feel(id, health_event::warm_up_finished);
+            if (srv.health == endpoint_health::ejected && constraints_.may_check_health &&
+                now >= srv.next_health_check_at) {
+                actions.push_back({action_kind::check_health, none, id, 0, 0});
+                srv.next_health_check_at = now + srv.health_check_backoff;
             }
         }
         refresh();
-        while (!due_.empty() && due_.top().at <= now) {
-            const due top = due_.top();
-            due_.pop();
-            const auto &qry = queries_[top.query];
-            if (qry.live && qry.generation == top.generation &&
-                (now >= qry.end || (qry.at == stage::held && now >= qry.hold_end)))
-                feed(top.query, input::time_up);
+        while (!timers_.empty() && timers_.top().at <= now) {
+            const request_timer top = timers_.top();
+            timers_.pop();
+            const auto &qry = requests_[top.request];
+            if (qry.is_live && qry.generation == top.generation &&
+                (now >= qry.deadline || (qry.state == request_state::queued && now >= qry.queue_deadline)))
+                feed(top.request, request_event::deadline_expired);
         }
         drain();
     }
@@ -815,48 +868,50 @@
         State next;
         Input (core::*effect)(index);
     };
-    static const std::array<table_row<stage, input>, 15> query_table;
-    static const std::array<table_row<health, sign>, 8> server_table;
-    input none_more(index) { return input::nothing; }
-    input retry(index) { return input::go; }
-    bool is_origin(const server &srv) const { return origin_kind_ != none && srv.as.kind == origin_kind_; }
-    void took(server &srv) {
-        srv.quiet += srv.in_flight * (now_ - srv.quiet_at);
-        srv.silent += srv.in_flight > 0 ? now_ - srv.quiet_at : 0;
-        srv.quiet_at = now_;
-    }
-    double chance() { return (static_cast<double>(chance_()) - 1) / 2147483646.0; }
+    static const std::array<table_row<request_state, request_event>, 15> query_table;
+    static const std::array<table_row<endpoint_health, health_event>, 8> server_table;
+    request_event none_more(index) { return request_event::nothing; }
+    request_event retry(index) { return request_event::dispatch; }
+    bool is_origin(const endpoint_record &srv) const {
+        return origin_kind_ != none && srv.info.kind == origin_kind_;
+    }
+    void took(endpoint_record &srv) {
+        srv.silent_attempt_time += srv.in_flight * (now_ - srv.silence_updated_at);
+        srv.silent_time += srv.in_flight > 0 ? now_ - srv.silence_updated_at : 0;
+        srv.silence_updated_at = now_;
+    }
+    double chance() { return (static_cast<double>(random_()) - 1) / 2147483646.0; }
 };
 
 // What a query does next. A row that is missing means: nothing happens.
-const std::array<core::table_row<stage, input>, 15> core::query_table = {{
-    {stage::held, input::arrives, stage::held, &core::admit},
-    {stage::held, input::go, stage::held, &core::place},
-    {stage::held, input::sent, stage::running, &core::none_more},
-    {stage::held, input::wait, stage::held, &core::queue},
-    {stage::held, input::hopeless, stage::over, &core::finish},
-    {stage::held, input::time_up, stage::over, &core::finish},
-    {stage::held, input::left, stage::over, &core::drop},
-    {stage::running, input::unrun, stage::held, &core::retry},
-    {stage::running, input::doubtful, stage::held, &core::repeat},
-    {stage::running, input::missed, stage::held, &core::fetch},
-    {stage::running, input::doubted, stage::running, &core::rescue},
-    {stage::running, input::done, stage::over, &core::drop},
-    {stage::running, input::time_up, stage::over, &core::finish},
-    {stage::running, input::left, stage::over, &core::drop},
-    {stage::over, input::done, stage::over, &core::drop},
+const std::array<core::table_row<request_state, request_event>, 15> core::query_table = {{
+    {request_state::queued, request_event::received, request_state::queued, &core::admit},
+    {request_state::queued, request_event::dispatch, request_state::queued, &core::place},
+    {request_state::queued, request_event::attempt_started, request_state::in_progress, &core::none_more},
+    {request_state::queued, request_event::no_capacity, request_state::queued, &core::queue},
+    {request_state::queued, request_event::not_servable, request_state::finished, &core::finish},
+    {request_state::queued, request_event::deadline_expired, request_state::finished, &core::finish},
+    {request_state::queued, request_event::client_disconnected, request_state::finished, &core::drop},
+    {request_state::in_progress, request_event::not_executed, request_state::queued, &core::retry},
+    {request_state::in_progress, request_event::possibly_executed, request_state::queued, &core::repeat},
+    {request_state::in_progress, request_event::cache_miss, request_state::queued, &core::fetch},
+    {request_state::in_progress, request_event::endpoint_ejected, request_state::in_progress, &core::rescue},
+    {request_state::in_progress, request_event::response_finished, request_state::finished, &core::drop},
+    {request_state::in_progress, request_event::deadline_expired, request_state::finished, &core::finish},
+    {request_state::in_progress, request_event::client_disconnected, request_state::finished, &core::drop},
+    {request_state::finished, request_event::response_finished, request_state::finished, &core::drop},
 }};
 
 // How a server is thought of. `reborn`: its process started anew, so its cache and its speed did too.
-const std::array<core::table_row<health, sign>, 8> core::server_table = {{
-    {health::ready, sign::struck, health::suspect, &core::condemn},
-    {health::cold, sign::struck, health::suspect, &core::condemn},
-    {health::suspect, sign::struck, health::suspect, &core::back_off},
-    {health::suspect, sign::answered, health::ready, &core::restore},
-    {health::suspect, sign::reborn, health::cold, &core::chill},
-    {health::ready, sign::reborn, health::cold, &core::chill},
-    {health::cold, sign::reborn, health::cold, &core::chill},
-    {health::cold, sign::warmed, health::ready, &core::restore},
+const std::array<core::table_row<endpoint_health, health_event>, 8> core::server_table = {{
+    {endpoint_health::healthy, health_event::failure_detected, endpoint_health::ejected, &core::condemn},
+    {endpoint_health::warming_up, health_event::failure_detected, endpoint_health::ejected, &core::condemn},
+    {endpoint_health::ejected, health_event::failure_detected, endpoint_health::ejected, &core::back_off},
+    {endpoint_health::ejected, health_event::answered, endpoint_health::healthy, &core::restore},
+    {endpoint_health::ejected, health_event::restarted, endpoint_health::warming_up, &core::chill},
+    {endpoint_health::healthy, health_event::restarted, endpoint_health::warming_up, &core::chill},
+    {endpoint_health::warming_up, health_event::restarted, endpoint_health::warming_up, &core::chill},
+    {endpoint_health::warming_up, health_event::warm_up_finished, endpoint_health::healthy, &core::restore},
 }};
 
 } // namespace
@@ -865,7 +920,7 @@
     return XXH64(text.data(), text.size(), 0);
 }
 
-std::unique_ptr<router> make_router(const settings &given, std::uint32_t seed, double now) {
+std::unique_ptr<router> make_router(const router_settings &given, std::uint32_t seed, double now) {
     return std::make_unique<core>(given, seed, now);
 }
 
--- a/src/setup/words.hpp
+++ b/src/settings/kind_names.hpp
@@ -10,15 +10,17 @@
 
 namespace harrierpass {
 
-inline constexpr std::array<std::pair<const char *, effect_kind>, 3> effect_words = {
+inline constexpr std::array<std::pair<const char *, effect_kind>, 3> effect_names = {
     {{"idempotent", effect_kind::idempotent},
      {"deduplicated", effect_kind::deduplicated},
      {"non_idempotent", effect_kind::non_idempotent}}};
-inline constexpr std::array<std::pair<const char *, repeat_group>, 3> group_words = {
-    {{"all", repeat_group::all}, {"zone", repeat_group::zone}, {"cell", repeat_group::cell}}};
+inline constexpr std::array<std::pair<const char *, deduplication_scope>, 3> deduplication_scope_names = {
+    {{"all", deduplication_scope::all},
+     {"zone", deduplication_scope::zone},
+     {"cell", deduplication_scope::cell}}};
 
 // The word of a kind that the list has.
-template <typename Words, typename Kind> const char *word_of(const Words &words, Kind kind) {
+template <typename Words, typename Kind> const char *kind_name(const Words &words, Kind kind) {
     return std::find_if(words.begin(), words.end(), [&](const auto &each) { return each.second == kind; })
         ->first;
 }
--- a/src/setup/setup.hpp
+++ b/src/settings/settings_reader.hpp
@@ -14,7 +14,7 @@
 namespace harrierpass {
 
 // Paths and their texts. A list has its length under "path.count"; paths unknown here are never looked up.
-class pairs {
+class field_reader {
 public:
     void set(const std::string &path, std::string_view text) { values_[path] = text; }
     std::string_view text(const std::string &path) const;
@@ -25,20 +25,20 @@
     }
     index count(const std::string &path, index absent) const;
     // As number() and seconds(); throws where what stands there is not from `least` to `most`.
-    double within(const std::string &path, double absent, double least, double most) const;
+    double number_within(const std::string &path, double absent, double least, double most) const;
     double seconds_within(const std::string &path, double absent, double least, double most) const {
-        return within(path, absent * 1000, least * 1000, most * 1000) / 1000;
+        return number_within(path, absent * 1000, least * 1000, most * 1000) / 1000;
     }
     // Throws where a text stands there that is none of those.
-    std::string_view one_of(const std::string &path, std::initializer_list<std::string_view> those) const;
+    std::string_view choice(const std::string &path, std::initializer_list<std::string_view> those) const;
 
 private:
     std::map<std::string, std::string, std::less<>> values_;
 };
 
 // From "path=value path=value ...".
-pairs read_pairs(std::string_view text);
+field_reader read_fields(std::string_view text);
 
-settings read_settings(const pairs &given);
+router_settings read_router_settings(const field_reader &given);
 
 } // namespace harrierpass
--- a/src/simlink/simlink.cpp
+++ b/src/simulator_adapter/simulator_adapter.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 // The front for the simulator: reads its wire, hands the events to one router for each instance and prints
 // what they decide. It decides nothing. Text ids become small indices here and milliseconds become seconds.
-#include "setup/setup.hpp"
-#include "subsets/chooser.hpp"
+#include "settings/settings_reader.hpp"
+#include "subsets/subset_router.hpp"
 
 #include <algorithm>
 #include <array>
@@ -19,7 +19,7 @@
 using namespace harrierpass;
 using std::string_view;
 
-using bad_line = bad_text;
+using bad_line = parse_error;
 
 struct text_hash {
     using is_transparent = void;
@@ -66,7 +66,7 @@
     double started;
     index kind, zone, cell;
     double weight;
-    listing state;
+    endpoint_state state;
     std::string id;
 };
 
@@ -110,8 +110,8 @@
         return static_cast<bool>(std::getline(std::cin, line_));
     }
     void complain(const char *why) const {
-        std::cerr << "harrierpass_simlink: line " << number_ << ": " << why << ": " << line_.substr(0, 80)
-                  << '\n';
+        std::cerr << "harrierpass_simulator_adapter: line " << number_ << ": " << why << ": "
+                  << line_.substr(0, 80) << '\n';
     }
 
     double now_ = 0;
@@ -155,7 +155,7 @@
                 follow(line_);
             }
         } catch (const bad_line &bad) {
-            complain(bad.why);
+            complain(bad.reason);
             if (opens)
                 return 1;
         }
@@ -191,7 +191,7 @@
     } else if (name == "MEMBERSHIP") {
         membership(to, line);
     } else if (name == "WAKEUP") {
-        to.decides->woken(now_);
+        to.decides->on_timer(now_);
     } else if (name == "HEALTH_RESULT") {
         const index server = to.server(line.word(), false);
         if (server == none)
@@ -199,15 +199,15 @@
         const bool answered = line.word() == "Ok";
         if (!line.rest().empty())
             line.word(); // the time it took decides nothing
-        to.decides->probed(now_, server, answered, report(line));
+        to.decides->on_health_check_finished(now_, server, answered, report(line));
     } else {
         const auto found = to.query_index.find(line.word());
         if (found == to.query_index.end())
             return; // ended just before, in this very batch
         if (name == "STARTED")
-            to.decides->begun(now_, found->second);
+            to.decides->on_response_started(now_, found->second);
         else
-            to.decides->left(now_, found->second);
+            to.decides->on_client_disconnected(now_, found->second);
     }
     print(who, to);
 }
@@ -234,15 +234,15 @@
             const string_view state = item.word();
             if (state != "healthy" && state != "cordoned" && state != "deregistered")
                 throw bad_line{"unknown state"};
-            made.state = state == "healthy"    ? listing::ready
-                         : state == "cordoned" ? listing::draining
-                                               : listing::gone;
+            made.state = state == "healthy"    ? endpoint_state::ready
+                         : state == "cordoned" ? endpoint_state::draining
+                                               : endpoint_state::removed;
             made.id = item.word();
             made.zone = item.maybe<index>("the zone is no number").value_or(none);
             made.cell = item.maybe<index>("the cell is no number").value_or(none);
             items.push_back(std::move(made));
         } catch (const bad_line &bad) {
-            complain(bad.why);
+            complain(bad.reason);
         }
     }
     pools_[sheet] = std::move(items);
@@ -251,23 +251,23 @@
 void wire_link::boot(parts &line) {
     const auto who = line.number<index>("the instance is no number");
     const auto salt = line.number<std::uint64_t>("the seed is no number");
-    const settings given = read_settings(read_pairs(line.rest()));
+    const router_settings given = read_router_settings(read_fields(line.rest()));
     auto &made = instances_[who] = instance{};
-    made.use_cases = static_cast<index>(given.use_cases.size());
-    made.decides = subsets::make_chooser(given, static_cast<std::uint32_t>(salt % 2147483647U), now_);
+    made.use_cases = static_cast<index>(given.request_classes.size());
+    made.decides = subsets::make_subset_router(given, static_cast<std::uint32_t>(salt % 2147483647U), now_);
     print(who, made);
 }
 
 void wire_link::membership(instance &to, parts &line) {
     const string_view kind = line.word();
-    const list_kind meant = kind == "delta"    ? list_kind::changes
-                            : kind == "full"   ? list_kind::whole
-                            : kind == "cached" ? list_kind::cached
-                                               : list_kind::lost;
-    if (meant == list_kind::lost && kind != "failed")
+    const endpoint_update_kind meant = kind == "delta"    ? endpoint_update_kind::delta
+                                       : kind == "full"   ? endpoint_update_kind::snapshot
+                                       : kind == "cached" ? endpoint_update_kind::cached_snapshot
+                                                          : endpoint_update_kind::poll_failed;
+    if (meant == endpoint_update_kind::poll_failed && kind != "failed")
         throw bad_line{"unknown kind of list"};
-    std::vector<list_entry> entries;
-    if (meant != list_kind::lost) {
+    std::vector<endpoint_info> entries;
+    if (meant != endpoint_update_kind::poll_failed) {
         line.word();
         const auto found = pools_.find(line.number<index>("the list's number is no number"));
         if (found == pools_.end())
@@ -276,36 +276,36 @@
             entries.push_back({to.server(item.id, true), item.id, item.started, item.kind, item.zone,
                                item.cell, item.weight, item.state});
     }
-    to.decides->listed(now_, meant, entries);
+    to.decides->on_endpoints_updated(now_, meant, entries);
 }
 
 void wire_link::arrival(instance &to, parts &line) {
     const std::string id(line.word());
     const auto bits = line.maybe<std::uint64_t>("the bits are no number").value_or(0);
     line.word(); // the size of the value decides nothing
-    new_query made;
-    made.use_case = line.number<index>("the class is no number");
+    request_info made;
+    made.class_id = line.number<index>("the class is no number");
     const auto key = line.maybe<std::uint64_t>("the key is no number");
     made.has_key = key.has_value();
     made.key = key.value_or(0);
-    made.statement_end = line.number<double>("the deadline is no number") / 1000;
+    made.deadline = line.number<double>("the deadline is no number") / 1000;
     line.word(); // nor does the hint
     made.tenant = line.maybe<index>("the tenant is no number").value_or(0);
-    made.write = (bits & 4) != 0;
-    if (made.use_case >= to.use_cases)
+    made.is_write = (bits & 4) != 0;
+    if (made.class_id >= to.use_cases)
         throw bad_line{"unknown class"};
     if (to.query_index.contains(id))
         throw bad_line{"the id came before"};
     if (to.free_queries.empty()) {
-        made.query = static_cast<index>(to.query_ids.size());
+        made.request = static_cast<index>(to.query_ids.size());
         to.query_ids.push_back(id);
     } else {
-        made.query = to.free_queries.back();
+        made.request = to.free_queries.back();
         to.free_queries.pop_back();
-        to.query_ids[made.query] = id;
+        to.query_ids[made.request] = id;
     }
-    to.query_index.emplace(id, made.query);
-    to.decides->arrived(now_, made);
+    to.query_index.emplace(id, made.request);
+    to.decides->on_request(now_, made);
 }
 
 void wire_link::attempt_end(instance &to, parts &line) {
@@ -325,8 +325,9 @@
     const auto note = line.maybe<index>("the detail is no number").value_or(0);
     if (found == to.query_index.end())
         throw bad_line{"unknown request"};
-    to.decides->ended(now_, found->second, execution, static_cast<outcome>(code - codes.begin()), over == "1",
-                      note > 1, report(line));
+    to.decides->on_attempt_finished(now_, found->second, execution,
+                                    static_cast<outcome>(code - codes.begin()), over == "1", note > 1,
+                                    report(line));
 }
 
 // What decides something; the rest is passed over. Guards an outcome against the report that came with it:
@@ -339,7 +340,8 @@
             const string_view pair = left.substr(0, left.find(','));
             left = pair.size() < left.size() ? left.substr(pair.size() + 1) : string_view{};
             if (pair.starts_with("concurrent:"))
-                told.held = parse_number<double>(pair.substr(pair.find(':') + 1), "a report is no number");
+                told.in_flight =
+                    parse_number<double>(pair.substr(pair.find(':') + 1), "a report is no number");
         }
     } catch (const bad_line &) {
         told = {};
@@ -360,42 +362,42 @@
     const std::string number = std::to_string(who) + " ";
     for (const auto &act : from.decides->actions) {
         const auto start = [&](const char *name) { reply_.append(name).append(" ").append(number); };
-        const auto query_id = [&]() -> const std::string & { return from.query_ids[act.query]; };
+        const auto query_id = [&]() -> const std::string & { return from.query_ids[act.request]; };
         switch (act.kind) {
-        case action_kind::send:
+        case action_kind::start_attempt:
             start("CALL_OUT");
-            reply_.append(query_id()).append(" ").append(from.server_ids[act.server]).append(" -");
+            reply_.append(query_id()).append(" ").append(from.server_ids[act.endpoint]).append(" -");
             break;
-        case action_kind::cancel:
+        case action_kind::cancel_attempt:
             start("CANCEL");
-            reply_.append(query_id()).append(" ").append(std::to_string(act.execution));
+            reply_.append(query_id()).append(" ").append(std::to_string(act.attempt));
             break;
-        case action_kind::reject:
+        case action_kind::reject_request:
             start("TURN_AWAY");
             reply_.append(query_id()).append(" ");
             put(act.time);
             reply_.pop_back();
             break;
-        case action_kind::abort:
+        case action_kind::fail_request:
             start("LOSE");
             reply_.append(query_id());
             break;
-        case action_kind::probe:
+        case action_kind::check_health:
             start("SOUND_OUT");
-            reply_.append(from.server_ids[act.server]);
+            reply_.append(from.server_ids[act.endpoint]);
             break;
-        case action_kind::wake:
+        case action_kind::set_timer:
             start("WAKE_AT");
             put(act.time);
             reply_.append("sweep");
             break;
-        case action_kind::subscribe:
+        case action_kind::watch_endpoints:
             start("SUBSCRIBE");
             reply_.append("1");
             break;
-        case action_kind::release:
+        case action_kind::release_request:
             from.query_index.erase(query_id());
-            from.free_queries.push_back(act.query);
+            from.free_queries.push_back(act.request);
             continue;
         }
         reply_ += '\n';
--- a/src/subsets/order.hpp
+++ b/src/subsets/endpoint_ranking.hpp
@@ -19,21 +19,21 @@
 
 namespace harrierpass::subsets {
 
-inline constexpr index most_level = 6; // a round's 64 proxies then share no server at all
+inline constexpr index max_subset_level = 6; // a round's 64 proxies then share no server at all
 
 // Smaller is preferred. `me`: the proxy's number among its peers, from 0.
 std::uint64_t distance(index me, std::string_view id);
 
 // How many of the servers, the nearest first, are in use. A server's part is what can be counted on of it: 0
 // where it is suspect, less than 1 while it is cold; `mean_part` that of all servers by the list alone.
-struct reach {
+struct subset_reach {
     std::size_t preferred = 0; // by the level
     std::size_t wanted = 0;    // more where these are too few for the work
 };
-reach reach_of(std::span<const std::uint64_t> distances, std::span<const double> parts, double mean_part,
-               index level);
+subset_reach compute_subset_reach(std::span<const std::uint64_t> distances, std::span<const double> parts,
+                                  double mean_part, index level);
 
 // Whether a server at this distance is preferred at this level; at level 0 every one is.
-bool preferred(std::uint64_t distance, index level);
+bool is_preferred(std::uint64_t distance, index level);
 
 } // namespace harrierpass::subsets
--- a/src/subsets/chooser.cpp
+++ b/src/subsets/subset_router.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "subsets/chooser.hpp"
+#include "subsets/subset_router.hpp"
 
-#include "subsets/order.hpp"
-#include "subsets/seen.hpp"
+#include "subsets/endpoint_ranking.hpp"
+#include "subsets/traffic_estimator.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -20,104 +20,105 @@
 
 class chooser final : public router {
 public:
-    chooser(const settings &given, std::uint32_t seed, double now)
-        : given_(given), inner_(make_router(given, seed, now)), off_(never_gains(given)) {
+    chooser(const router_settings &given, std::uint32_t seed, double now)
+        : given_(given), inner_(make_router(given, seed, now)), off_(subsetting_never_helps(given)) {
         pass(now);
     }
 
-    void listed(double now, list_kind kind, std::span<const list_entry> entries) override {
-        if (kind == list_kind::lost) {
-            inner_->listed(now, kind, entries);
+    void on_endpoints_updated(double now, endpoint_update_kind kind,
+                              std::span<const endpoint_info> entries) override {
+        if (kind == endpoint_update_kind::poll_failed) {
+            inner_->on_endpoints_updated(now, kind, entries);
             return pass(now);
         }
-        if (is_whole(kind))
+        if (is_snapshot(kind))
             for (auto &each : servers_)
-                each.as.state = listing::gone;
+                each.as.state = endpoint_state::removed;
         for (const auto &each : entries)
             note(each);
         sort();
-        if (!off_ && !seen_.enough())
-            level_ = first_level(static_cast<index>(by_distance_.size()), given_.peers);
+        if (!off_ && !seen_.has_enough_samples())
+            level_ = initial_level(static_cast<index>(by_distance_.size()), given_.proxy_count);
         choose(now, false);
         if (off_) {
             for (auto &each : servers_)
                 each.named = each.changed = false;
-            inner_->listed(now, kind, entries);
+            inner_->on_endpoints_updated(now, kind, entries);
             return pass(now);
         }
-        std::vector<list_entry> told;
+        std::vector<endpoint_info> told;
         for (index id = 0; id < servers_.size(); ++id) {
             auto &srv = servers_[id];
             const bool named = std::exchange(srv.named, false), changed = std::exchange(srv.changed, false);
-            if (named || (changed && srv.as.state == listing::ready))
+            if (named || (changed && srv.as.state == endpoint_state::ready))
                 told.push_back(entry(id));
         }
-        inner_->listed(now, kind, told);
+        inner_->on_endpoints_updated(now, kind, told);
         for (const auto &each : told)
-            servers_[each.server].told = true;
+            servers_[each.endpoint].told = true;
         pass(now);
     }
 
-    void arrived(double now, const new_query &from) override {
-        seen_.arrived(now, from.query, given_.use_cases[from.use_case]);
+    void on_request(double now, const request_info &from) override {
+        seen_.on_request(now, from.request, given_.request_classes[from.class_id]);
         const auto before = sends_;
-        inner_->arrived(now, from);
+        inner_->on_request(now, from);
         pass(now);
         if (off_)
             return;
         roomless_ += press_weight * ((sends_ > before ? 0 : 1) - roomless_);
-        if (seen_.enough() && seen_.queries() % look_every == 0)
+        if (seen_.has_enough_samples() && seen_.request_count() % look_every == 0)
             look(now);
         if (wide_ || pressed_ != (roomless_ > press_limit))
             review(now, sends_ > before);
     }
 
-    void ended(double now, index qry, index execution, outcome result, bool over, bool fetched,
-               const load_report &told) override {
-        seen_.ended(now, qry, execution, result == outcome::completed, fetched);
-        inner_->ended(now, qry, execution, result, over, fetched, told);
+    void on_attempt_finished(double now, index qry, index execution, outcome result, bool over, bool fetched,
+                             const load_report &told) override {
+        seen_.on_attempt_finished(now, qry, execution, result == outcome::completed, fetched);
+        inner_->on_attempt_finished(now, qry, execution, result, over, fetched, told);
         pass(now);
     }
-    void begun(double now, index qry, bool fetched) override {
-        inner_->begun(now, qry, fetched);
+    void on_response_started(double now, index qry, bool fetched) override {
+        inner_->on_response_started(now, qry, fetched);
         pass(now);
     }
-    void written(double now, index qry, double statement_end) override {
-        inner_->written(now, qry, statement_end);
+    void on_request_body_sent(double now, index qry, double statement_end) override {
+        inner_->on_request_body_sent(now, qry, statement_end);
         pass(now);
     }
-    void left(double now, index qry) override {
-        inner_->left(now, qry);
+    void on_client_disconnected(double now, index qry) override {
+        inner_->on_client_disconnected(now, qry);
         pass(now);
     }
-    void probed(double now, index id, bool answered, const load_report &told) override {
-        inner_->probed(now, id, answered, told);
+    void on_health_check_finished(double now, index id, bool answered, const load_report &told) override {
+        inner_->on_health_check_finished(now, id, answered, told);
         pass(now);
     }
-    void woken(double now) override {
-        inner_->woken(now);
+    void on_timer(double now) override {
+        inner_->on_timer(now);
         pass(now);
         if (++sweeps_ % look_sweeps == 0)
             review(now, false);
     }
     // The whole list follows, and with it the servers' distances by another number.
-    void adopt(double now, const settings &given) override {
-        const bool renumbered = given.me != given_.me;
+    void update_settings(double now, const router_settings &given) override {
+        const bool renumbered = given.proxy_index != given_.proxy_index;
         given_ = given;
-        off_ = never_gains(given);
+        off_ = subsetting_never_helps(given);
         level_ = off_ ? 0 : level_;
         for (auto &each : servers_)
-            if (renumbered && given_.me != none)
-                each.away = distance(given_.me, each.id);
-        inner_->adopt(now, given);
+            if (renumbered && given_.proxy_index != none)
+                each.away = distance(given_.proxy_index, each.id);
+        inner_->update_settings(now, given);
         pass(now);
     }
-    double write_by(index qry) const override { return inner_->write_by(qry); }
+    double attempt_write_deadline(index qry) const override { return inner_->attempt_write_deadline(qry); }
     // Guards what operators count against suspicions that nobody looks into any more.
-    bool avoids(index id) const override {
-        return id < servers_.size() && servers_[id].in && inner_->avoids(id);
+    bool avoids_endpoint(index id) const override {
+        return id < servers_.size() && servers_[id].in && inner_->avoids_endpoint(id);
     }
-    bool suspects(index id) const override { return inner_->suspects(id); }
+    bool is_ejected(index id) const override { return inner_->is_ejected(id); }
     subset_view subset() const override {
         return {
             static_cast<index>(by_distance_.size()), in_, level_, joined_, left_, widened_, pressed_count_};
@@ -126,21 +127,21 @@
 private:
     struct server {
         std::string id;
-        list_entry as;                       // as last listed, but for the id
+        endpoint_info as;                    // as last listed, but for the id
         std::uint64_t away = 0;              // its distance
         bool in = true;                      // the router may use it
         bool told = false;                   // the router has heard of it
         bool named = false, changed = false; // by the list at hand; by the choice
     };
 
-    void note(const list_entry &from) {
-        if (from.server >= servers_.size())
-            servers_.resize(from.server + 1);
-        auto &to = servers_[from.server];
+    void note(const endpoint_info &from) {
+        if (from.endpoint >= servers_.size())
+            servers_.resize(from.endpoint + 1);
+        auto &to = servers_[from.endpoint];
         if (to.id != from.id) {
             to = {};
             to.id = from.id;
-            to.away = given_.me == none ? 0 : distance(given_.me, from.id);
+            to.away = given_.proxy_index == none ? 0 : distance(given_.proxy_index, from.id);
             to.in = false;
         }
         to.as = from;
@@ -152,21 +153,21 @@
         return given_.origin_kind != none && srv.as.kind == given_.origin_kind;
     }
 
-    list_entry entry(index id) const {
+    endpoint_info entry(index id) const {
         const auto &srv = servers_[id];
-        list_entry made = srv.as;
+        endpoint_info made = srv.as;
         made.id = srv.id;
-        if (made.state == listing::ready && !srv.in && !is_origin(srv))
-            made.state = listing::draining;
+        if (made.state == endpoint_state::ready && !srv.in && !is_origin(srv))
+            made.state = endpoint_state::draining;
         return made;
     }
 
     void sort() {
         by_distance_.clear();
         for (index id = 0; id < servers_.size(); ++id) {
-            if (servers_[id].as.state == listing::gone)
+            if (servers_[id].as.state == endpoint_state::removed)
                 servers_[id].in = false;
-            if (servers_[id].as.state == listing::ready && !is_origin(servers_[id]))
+            if (servers_[id].as.state == endpoint_state::ready && !is_origin(servers_[id]))
                 by_distance_.push_back(id);
         }
         std::ranges::sort(by_distance_, {}, [&](index id) { return std::pair(servers_[id].away, id); });
@@ -175,11 +176,11 @@
     // The part of a server's work that can be counted on, by the list; by what this proxy saw of it.
     double warmth(double now, index id) const {
         const auto &srv = servers_[id];
-        const bool cold = srv.as.started > 0 && now - srv.as.started < given_.cold.warm_time;
-        return cold ? given_.cold.start_capacity : 1;
+        const bool cold = srv.as.started_at > 0 && now - srv.as.started_at < given_.slow_start.warm_up_time;
+        return cold ? given_.slow_start.initial_capacity_share : 1;
     }
     double usable(double now, index id) const {
-        return servers_[id].told && inner_->suspects(id) ? 0 : warmth(now, id);
+        return servers_[id].told && inner_->is_ejected(id) ? 0 : warmth(now, id);
     }
 
     // Which servers are in: the nearest, as many as the level says, more where these cannot do the work.
@@ -194,7 +195,8 @@
             parts_.push_back(usable(now, id));
             warm += warmth(now, id);
         }
-        const reach of = reach_of(distances_, parts_, all > 0 ? warm / static_cast<double>(all) : 1, level_);
+        const subset_reach of =
+            compute_subset_reach(distances_, parts_, all > 0 ? warm / static_cast<double>(all) : 1, level_);
         widened_ += !std::exchange(short_, of.wanted > of.preferred) && short_;
         pressed_count_ += !std::exchange(pressed_, roomless_ > press_limit) && pressed_;
         const std::size_t want = std::min(all, pressed_ ? 2 * of.wanted : of.wanted);
@@ -216,14 +218,15 @@
     }
 
     void look(double now) {
-        const prices given{given_.handshake_price, given_.origin_price, given_.idle_limit * kept_idle_share};
-        const index best = best_level(given, seen_.now(now, level_), static_cast<index>(by_distance_.size()),
-                                      given_.peers, level_);
+        const subset_costs given{given_.handshake_cost, given_.origin_fetch_cost,
+                                 given_.upstream_idle_timeout * idle_reuse_share};
+        const index best = best_level(given, seen_.estimate(now, level_),
+                                      static_cast<index>(by_distance_.size()), given_.proxy_count, level_);
         if (best == level_)
             return;
         level_ = best;
         wide_ = true;
-        seen_.moved(now);
+        seen_.on_level_changed(now);
     }
 
     // Guards the router against a ring that is laid anew for nothing: it is told of changes only.
@@ -231,38 +234,39 @@
         if (off_)
             return;
         choose(now, narrows);
-        std::vector<list_entry> told;
+        std::vector<endpoint_info> told;
         for (const index id : by_distance_)
             if (std::exchange(servers_[id].changed, false))
                 told.push_back(entry(id));
         if (told.empty())
             return;
-        inner_->listed(now, list_kind::own, told); // guards the calls for a list that was lost
+        inner_->on_endpoints_updated(now, endpoint_update_kind::local,
+                                     told); // guards the calls for a list that was lost
         pass(now);
     }
 
     // What the router decided, seen on its way to the front.
     void pass(double now) {
         for (const auto &each : inner_->actions) {
-            if (each.kind == action_kind::send) {
-                seen_.sent(now, each.query, each.server);
+            if (each.kind == action_kind::start_attempt) {
+                seen_.on_attempt_started(now, each.request, each.endpoint);
                 ++sends_;
-            } else if (each.kind == action_kind::release) {
-                seen_.over(each.query);
+            } else if (each.kind == action_kind::release_request) {
+                seen_.on_request_released(each.request);
             }
             actions.push_back(each);
         }
         inner_->actions.clear();
     }
 
-    settings given_;
+    router_settings given_;
     std::unique_ptr<router> inner_;
     bool off_;
     std::vector<server> servers_;
     std::vector<index> by_distance_;       // those that are ready, the nearest first
     std::vector<std::uint64_t> distances_; // theirs
     std::vector<double> parts_;            // what can be counted on of each
-    seen_traffic seen_;
+    traffic_estimator seen_;
     index level_ = 0, in_ = 0;
     bool short_ = false;    // the preferred ones cannot do the work
     bool pressed_ = false;  // most queries find no room with them
@@ -274,7 +278,7 @@
 
 } // namespace
 
-std::unique_ptr<router> make_chooser(const settings &given, std::uint32_t seed, double now) {
+std::unique_ptr<router> make_subset_router(const router_settings &given, std::uint32_t seed, double now) {
     return std::make_unique<chooser>(given, seed, now);
 }
 
--- a/src/subsets/chooser.hpp
+++ b/src/subsets/subset_router.hpp
@@ -20,6 +20,6 @@
 
 // The decision module, and before it the choice of the servers that it sees. Where the settings say that a
 // subset cannot gain, every call goes through unchanged.
-std::unique_ptr<router> make_chooser(const settings &given, std::uint32_t seed, double now);
+std::unique_ptr<router> make_subset_router(const router_settings &given, std::uint32_t seed, double now);
 
 } // namespace harrierpass::subsets
--- a/src/subsets/width.cpp
+++ b/src/subsets/subset_size.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "subsets/width.hpp"
+#include "subsets/subset_size.hpp"
 
-#include "subsets/order.hpp"
+#include "subsets/endpoint_ranking.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -17,16 +17,19 @@
 
 } // namespace
 
-double cost(const prices &given, const traffic &seen, index servers, index peers, index level) {
+double request_cost(const subset_costs &given, const traffic_sample &seen, index servers, index peers,
+                    index level) {
     const double parts = std::exp2(static_cast<double>(level));
-    const double dials = std::exp(-given.rest * seen.rate * parts / std::max<double>(1, servers));
+    const double dials =
+        std::exp(-given.idle_timeout * seen.attempt_rate * parts / std::max<double>(1, servers));
     const auto places = [&](index at) { return std::min<double>(std::exp2(static_cast<double>(at)), peers); };
-    const double more = places(level) / places(seen.seen_at) * seen.fetched;
-    const double fetches = more > 0 ? more / (more + 1 - seen.fetched) : 0;
-    return given.handshake * dials + (given.origin + seen.fetch_loss) * fetches;
+    const double more = places(level) / places(seen.observed_level) * seen.origin_fetch_share;
+    const double fetches = more > 0 ? more / (more + 1 - seen.origin_fetch_share) : 0;
+    return given.connection_cost * dials + (given.origin_fetch_cost + seen.origin_fetch_loss) * fetches;
 }
 
-index best_level(const prices &given, const traffic &seen, index servers, index peers, index now) {
+index best_level(const subset_costs &given, const traffic_sample &seen, index servers, index peers,
+                 index now) {
     const auto left = [](double all, index level) { return all / std::exp2(static_cast<double>(level)); };
     // Whether enough proxies use each server, and each proxy enough servers; a part of that may do.
     const auto enough = [&](index level, double part) {
@@ -36,30 +39,32 @@
     };
     index best = 0;
     // Each narrower level has to be worth it over the best so far, as a wide one is the safer.
-    for (index level = 1; level <= most_level && enough(level, 1); ++level)
-        if (cost(given, seen, servers, peers, best) - cost(given, seen, servers, peers, level) >
-            worth_a_move * given.handshake)
+    for (index level = 1; level <= max_subset_level && enough(level, 1); ++level)
+        if (request_cost(given, seen, servers, peers, best) -
+                request_cost(given, seen, servers, peers, level) >
+            worth_a_move * given.connection_cost)
             best = level;
     const bool holds = enough(now, 0.5);
-    const double gain = cost(given, seen, servers, peers, now) - cost(given, seen, servers, peers, best);
-    return holds && std::abs(gain) < worth_a_move * given.handshake ? now : best;
+    const double gain =
+        request_cost(given, seen, servers, peers, now) - request_cost(given, seen, servers, peers, best);
+    return holds && std::abs(gain) < worth_a_move * given.connection_cost ? now : best;
 }
 
-index first_level(index servers, index peers) {
+index initial_level(index servers, index peers) {
     index level = 0;
-    while (level < most_level && servers / std::exp2(level + 1.0) >= first_width &&
+    while (level < max_subset_level && servers / std::exp2(level + 1.0) >= first_width &&
            peers / std::exp2(level + 1.0) >= least_users)
         ++level;
     return level;
 }
 
-bool never_gains(const settings &given) {
+bool subsetting_never_helps(const router_settings &given) {
     // Guards an origin that the proxies ask themselves: a miss costs a further execution there, and what the
     // origin then refuses comes to light more slowly than it does harm.
     if (given.origin_kind != none)
         return true;
-    return given.me == none || given.handshake_price <= 0 || given.idle_limit <= 0 ||
-           given.peers < 2 * least_users;
+    return given.proxy_index == none || given.handshake_cost <= 0 || given.upstream_idle_timeout <= 0 ||
+           given.proxy_count < 2 * least_users;
 }
 
 } // namespace harrierpass::subsets
--- a/src/subsets/seen.cpp
+++ b/src/subsets/traffic_estimator.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "subsets/seen.hpp"
+#include "subsets/traffic_estimator.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -13,28 +13,28 @@
 
 } // namespace
 
-void seen_traffic::mean::add(double value) {
+void traffic_estimator::mean::add(double value) {
     sum += value - sum / answer_memory;
     weight += 1 - weight / answer_memory;
 }
 
-void seen_traffic::decay(double now) {
+void traffic_estimator::decay(double now) {
     const double past = std::max(0.0, now - at_), kept = std::exp(-past / memory);
     sent_ *= kept;
     out_seconds_ = out_seconds_ * kept + all_out_ * memory * (1 - kept);
     at_ = std::max(at_, now);
 }
 
-void seen_traffic::arrived(double now, index query, const use_case &use) {
+void traffic_estimator::on_request(double now, index query, const request_class &use) {
     if (started_ < 0)
         started_ = at_ = now;
     ++queries_;
     if (query >= asked_.size())
         asked_.resize(query + 1);
-    asked_[query] = {now, use.slo_time, 1 - use.tardy, {}};
+    asked_[query] = {now, use.latency_objective, 1 - use.late_value_share, {}};
 }
 
-void seen_traffic::sent(double now, index query, index server) {
+void traffic_estimator::on_attempt_started(double now, index query, index server) {
     decay(now);
     ++sent_;
     asked_[query].servers.push_back(server);
@@ -44,7 +44,8 @@
     ++all_out_;
 }
 
-void seen_traffic::ended(double now, index query, index execution, bool completed, bool fetched) {
+void traffic_estimator::on_attempt_finished(double now, index query, index execution, bool completed,
+                                            bool fetched) {
     if (query >= asked_.size() || execution >= asked_[query].servers.size() ||
         asked_[query].servers[execution] == none)
         return;
@@ -59,7 +60,7 @@
     (fetched ? fetched_loss_ : hit_loss_).add(now - of.arrived > of.slo_time ? of.late_loss : 0);
 }
 
-void seen_traffic::over(index query) {
+void traffic_estimator::on_request_released(index query) {
     for (const index server : asked_[query].servers)
         if (server != none) {
             --out_[server];
@@ -68,21 +69,21 @@
     asked_[query].servers.clear();
 }
 
-void seen_traffic::moved(double now) {
+void traffic_estimator::on_level_changed(double now) {
     decay(now);
     fetched_ = {};
 }
 
-traffic seen_traffic::now(double time, index level) const {
-    traffic made;
+traffic_sample traffic_estimator::estimate(double time, index level) const {
+    traffic_sample made;
     // Guards the rate against a short past: the decaying sum has had no time to fill.
     const double past = std::max(0.0, time - at_), kept = std::exp(-past / memory);
     const double full = memory * (1 - std::exp(-std::max(0.25, time - started_) / memory));
-    made.rate = sent_ * kept / full;
+    made.attempt_rate = sent_ * kept / full;
     made.in_flight = (out_seconds_ * kept + all_out_ * memory * (1 - kept)) / full;
-    made.fetched = fetched_.value(0);
-    made.fetch_loss = std::max(0.0, fetched_loss_.value(few_losses) - hit_loss_.value(few_losses));
-    made.seen_at = level;
+    made.origin_fetch_share = fetched_.value(0);
+    made.origin_fetch_loss = std::max(0.0, fetched_loss_.value(few_losses) - hit_loss_.value(few_losses));
+    made.observed_level = level;
     return made;
 }
 
--- a/src/subsets/seen.hpp
+++ b/src/subsets/traffic_estimator.hpp
@@ -2,25 +2,25 @@
 // What one proxy sees of its own traffic, for the width of its subset. Nothing is sent to anybody.
 #pragma once
 
-#include "subsets/width.hpp"
+#include "subsets/subset_size.hpp"
 
 #include <vector>
 
 namespace harrierpass::subsets {
 
-class seen_traffic {
+class traffic_estimator {
 public:
-    void arrived(double now, index query, const use_case &use);
-    void sent(double now, index query, index server);
-    void ended(double now, index query, index execution, bool completed, bool fetched);
-    void over(index query); // released
+    void on_request(double now, index query, const request_class &use);
+    void on_attempt_started(double now, index query, index server);
+    void on_attempt_finished(double now, index query, index execution, bool completed, bool fetched);
+    void on_request_released(index query); // released
 
     // At this level from now on: what was fetched at another is forgotten.
-    void moved(double now);
-    bool enough() const { return queries_ >= least_queries; }
-    std::uint64_t queries() const { return queries_; }
+    void on_level_changed(double now);
+    bool has_enough_samples() const { return queries_ >= least_queries; }
+    std::uint64_t request_count() const { return queries_; }
     index in_flight(index server) const { return server < out_.size() ? out_[server] : 0; }
-    traffic now(double time, index level) const;
+    traffic_sample estimate(double time, index level) const;
 
 private:
     static constexpr std::uint64_t least_queries = 8; // before them a rate is chance
--- a/src/tenants/limits.cpp
+++ b/src/tenants/limits.cpp
@@ -120,7 +120,7 @@
         weights_ = 0; // guards against what rounding leaves over the years
 }
 
-verdict limiter::enter(std::uint64_t incarnation, std::uint64_t body, double now) {
+request_result limiter::enter(std::uint64_t incarnation, std::uint64_t body, double now) {
     const auto found = accounts_.find(incarnation);
     if (found == accounts_.end())
         return {limit::unknown, 0};
--- a/src/tenants/limits.hpp
+++ b/src/tenants/limits.hpp
@@ -19,7 +19,7 @@
 enum class limit : std::uint8_t { none, unknown, state, body, rate, work, in_flight, room, total };
 const char *name_of(limit which); // as refusals and counters have it
 
-struct verdict {
+struct request_result {
     limit by = limit::none; // none: taken
     double come_back = 0;   // s; 0 where it is not a matter of time
 };
@@ -41,7 +41,7 @@
     // counted.
     void adopt(const tenant_set &set, double now);
 
-    verdict enter(std::uint64_t incarnation, std::uint64_t body, double now);
+    request_result enter(std::uint64_t incarnation, std::uint64_t body, double now);
     // A query that was taken has its answer; `work`: s of servers' time that it cost.
     void leave(std::uint64_t incarnation, double work, double now);
 
--- a/src/tenants/model.cpp
+++ b/src/tenants/model.cpp
@@ -90,14 +90,15 @@
         is.need(is_label(use.name, most_name, "-_"), at + "/name",
                 "is not 1 to 63 small letters, digits, '-' and '_'");
         is.need(names.insert(use.name).second, at + "/name", "stands twice");
-        is.number(use.decides.slo_time, 0.001, most_time, at + "/slo_time", "is not between 0.001 and 600 s");
+        is.number(use.decides.latency_objective, 0.001, most_time, at + "/slo_time",
+                  "is not between 0.001 and 600 s");
         is.number(use.statement_timeout, 0.001, most_time, at + "/statement_timeout",
                   "is not between 0.001 and 600 s");
-        is.number(use.decides.importance, 0, 1000, at + "/importance", "is not between 0 and 1000");
-        is.number(use.decides.tardy, 0, 1, at + "/tardy", "is not between 0 and 1");
-        is.number(use.decides.window, 0, 3600, at + "/window", "is not between 0 and 3600 s");
-        is.need(use.decides.effect != effect_kind::deduplicated || use.decides.window > 0, at + "/window",
-                "is needed where repeats are dropped");
+        is.number(use.decides.priority_weight, 0, 1000, at + "/importance", "is not between 0 and 1000");
+        is.number(use.decides.late_value_share, 0, 1, at + "/tardy", "is not between 0 and 1");
+        is.number(use.decides.deduplication_window, 0, 3600, at + "/window", "is not between 0 and 3600 s");
+        is.need(use.decides.effect != effect_kind::deduplicated || use.decides.deduplication_window > 0,
+                at + "/window", "is needed where repeats are dropped");
     }
     is.need(of.routes.size() <= most_routes, "/routes", "are more than 256");
     std::set<std::pair<std::string_view, std::string_view>> places;
--- a/src/tenants/model.hpp
+++ b/src/tenants/model.hpp
@@ -37,7 +37,7 @@
 
 struct named_use_case {
     std::string name;
-    use_case decides;
+    request_class decides;
     double statement_timeout = 1; // s
 };
 
--- a/src/tenants/text.cpp
+++ b/src/tenants/text.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "tenants/text.hpp"
 
-#include "setup/words.hpp"
+#include "settings/kind_names.hpp"
 
 #include <array>
 #include <functional>
@@ -31,13 +31,13 @@
                  {"keys", json::array()}};
     for (const auto &each : of.use_cases)
         made["use_cases"].push_back({{"name", each.name},
-                                     {"effect", word_of(effect_words, each.decides.effect)},
-                                     {"group", word_of(group_words, each.decides.group)},
-                                     {"window", each.decides.window},
-                                     {"slo_time", each.decides.slo_time},
+                                     {"effect", kind_name(effect_names, each.decides.effect)},
+                                     {"group", kind_name(deduplication_scope_names, each.decides.scope)},
+                                     {"window", each.decides.deduplication_window},
+                                     {"slo_time", each.decides.latency_objective},
                                      {"statement_timeout", each.statement_timeout},
-                                     {"importance", each.decides.importance},
-                                     {"tardy", each.decides.tardy}});
+                                     {"importance", each.decides.priority_weight},
+                                     {"tardy", each.decides.late_value_share}});
     for (const auto &each : of.routes)
         made["routes"].push_back(
             {{"host", each.host}, {"prefix", each.prefix}, {"pool", each.pool}, {"use_case", each.use_case}});
@@ -136,13 +136,13 @@
                     auto &use = to.use_cases.emplace_back();
                     is.object(value, at,
                               {{"name", is.text(use.name)},
-                               {"effect", is.one_of(effect_words, use.decides.effect)},
-                               {"group", is.one_of(group_words, use.decides.group)},
-                               {"window", is.number(use.decides.window)},
-                               {"slo_time", is.number(use.decides.slo_time)},
+                               {"effect", is.one_of(effect_names, use.decides.effect)},
+                               {"group", is.one_of(deduplication_scope_names, use.decides.scope)},
+                               {"window", is.number(use.decides.deduplication_window)},
+                               {"slo_time", is.number(use.decides.latency_objective)},
                                {"statement_timeout", is.number(use.statement_timeout)},
-                               {"importance", is.number(use.decides.importance)},
-                               {"tardy", is.number(use.decides.tardy)}});
+                               {"importance", is.number(use.decides.priority_weight)},
+                               {"tardy", is.number(use.decides.late_value_share)}});
                 })},
                {"routes", is.list([&](const json &value, const std::string &at) {
                     auto &each = to.routes.emplace_back();
--- a/tests/hosted_test.cpp
+++ b/tests/hosted/hosted_test.cpp
@@ -41,7 +41,7 @@
     tenant of;
     of.name = name;
     of.is = tenants::state::active;
-    of.use_cases.push_back({"lookup", {effect_kind::idempotent, repeat_group::all, 0, 0.2, 1, 0}, 1});
+    of.use_cases.push_back({"lookup", {effect_kind::idempotent, deduplication_scope::all, 0, 0.2, 1, 0}, 1});
     of.routes.push_back({host.empty() ? name + ".example.org" : host, prefix, pool, "lookup"});
     return of;
 }
@@ -887,7 +887,7 @@
         eye(at.at, "eye", -10, 1000, &root), stranger(at.at, "root", -10, 1000),
         late(at.at, "late", -1000, -10, &root);
     std::ostringstream text;
-    log lines(text, level::info);
+    log lines(text, log_level::info);
     hosted::identity shown({served.certificate, served.key, ""});
     const auto any = *parse_address("127.0.0.1:0");
     {
@@ -941,7 +941,7 @@
     const folder at;
     service of(at.db());
     std::ostringstream text;
-    log lines(text, level::info);
+    log lines(text, log_level::info);
     hosted::admin_limits most;
     most.request = 0.3;
     most.idle = 0.5;
--- a/tests/cold_start_test.cpp
+++ b/tests/lab/cold_start_test.cpp
@@ -2,15 +2,15 @@
 // Starts of many processes at once: real proxies before one list service that is slow, dead, hung or cut off;
 // the files that they start from, killed while they are written and damaged.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
-#include "helpers.hpp"
-#include "process_helpers.hpp"
+#include "support/helpers.hpp"
+#include "support/process_helpers.hpp"
 
 #include "base/text.hpp"
 #include "lab/judge/report.hpp"
 #include "lab/runs/socket_run.hpp"
-#include "proxy/catalog.hpp"
-#include "proxy/check.hpp"
-#include "proxy/snapshot_file.hpp"
+#include "proxy/discovery/discovery_client.hpp"
+#include "proxy/discovery/snapshot_file.hpp"
+#include "proxy/operations/startup_preview.hpp"
 
 #include <csignal>
 #include <doctest/doctest.h>
@@ -172,7 +172,7 @@
     // truth.
     const auto tells = [](const std::string &text) {
         std::ostringstream told;
-        proxy::tell_start(proxy::read_configuration(text), 1e9, told);
+        proxy::preview_startup(proxy::read_configuration(text), 1e9, told);
         return told.str();
     };
     std::string own = test::read_file(folder + "/p1.json");
@@ -227,8 +227,8 @@
     configuration given;
     given.name = "p0";
     given.discovery = "127.0.0.1:1";
-    given.snapshot = path;
-    given.snapshot_age = 1e9;
+    given.snapshot_path = path;
+    given.snapshot_max_age = 1e9;
     const char *const kills = std::getenv("HARRIERPASS_KILLS"); // by hand: 300
     std::minstd_rand chance(7);
     std::uint64_t last = 0;
@@ -236,15 +236,15 @@
         const pid_t writer = ::fork();
         if (writer == 0)
             for (std::uint64_t revision = last + 1;; ++revision)
-                write_snapshot(path, startup::to_text({"p0", "127.0.0.1:1", 100, list_of(200, revision)}));
+                write_snapshot(path, discovery::to_text({"p0", "127.0.0.1:1", 100, list_of(200, revision)}));
         while (!std::filesystem::exists(path)) {
         }
         std::this_thread::sleep_for(std::chrono::microseconds(chance() % 4000));
         ::kill(writer, SIGKILL);
         ::waitpid(writer, nullptr, 0);
-        const auto found = read_snapshot_of(given, 101);
+        const auto found = load_snapshot(given, 101);
         REQUIRE(found.fault == nullptr);
-        const auto list = read_list(found.list, given);
+        const auto list = read_endpoint_list(found.list, given);
         CHECK(list.items.size() == 200);
         CHECK(list.revision >= last);
         last = list.revision;
@@ -256,10 +256,10 @@
         if ((both[i] = ::fork()) == 0)
             for (;;)
                 write_snapshot(path,
-                               startup::to_text({"p0", "127.0.0.1:1", 100, list_of(200 - 80 * i, last)}));
+                               discovery::to_text({"p0", "127.0.0.1:1", 100, list_of(200 - 80 * i, last)}));
     int bad = 0;
     for (int i = 0; i < 2000; ++i)
-        bad += read_snapshot_of(given, 101).fault != nullptr;
+        bad += load_snapshot(given, 101).fault != nullptr;
     for (const pid_t each : both) {
         ::kill(each, SIGKILL);
         ::waitpid(each, nullptr, 0);
@@ -274,38 +274,38 @@
         ::signal(SIGXFSZ, SIG_IGN);
         ::setrlimit(RLIMIT_FSIZE, &none_left);
         const bool wrote =
-            write_snapshot(path, startup::to_text({"p0", "127.0.0.1:1", 100, list_of(200, 1)}));
+            write_snapshot(path, discovery::to_text({"p0", "127.0.0.1:1", 100, list_of(200, 1)}));
         ::_exit(wrote ? 1 : errno == EFBIG && !std::filesystem::exists(path + ".new") ? 0 : 2);
     }
     int how = -1;
     ::waitpid(poor, &how, 0);
     CHECK(how == 0);
-    const auto kept = read_snapshot_of(given, 101);
+    const auto kept = load_snapshot(given, 101);
     REQUIRE(kept.fault == nullptr);
-    CHECK(read_list(kept.list, given).revision == last);
+    CHECK(read_endpoint_list(kept.list, given).revision == last);
     std::filesystem::remove_all(folder);
 }
 
 TEST_CASE("damaged snapshots are refused by name, and none is used in part") {
-    const startup::snapshot whole{"p0", "127.0.0.1:1", 1000, list_of(8, 41)};
-    const std::string text = startup::to_text(whole);
-    const auto read = [&](const std::string &from, const startup::snapshot &as, double now) {
-        return startup::read_snapshot(from, as, now, 100).fault;
+    const discovery::endpoint_snapshot whole{"p0", "127.0.0.1:1", 1000, list_of(8, 41)};
+    const std::string text = discovery::to_text(whole);
+    const auto read = [&](const std::string &from, const discovery::endpoint_snapshot &as, double now) {
+        return discovery::read_snapshot(from, as, now, 100).fault;
     };
-    using fault = startup::snapshot_fault;
+    using fault = discovery::snapshot_fault;
     CHECK(read(text, whole, 1010) == fault::none);
-    CHECK(startup::read_snapshot(text, whole, 1010, 100).made.list == whole.list);
-    CHECK(startup::read_snapshot(text, whole, 1010, 100).age == 10);
-    CHECK(read(text, whole, 1101) == fault::old);
+    CHECK(discovery::read_snapshot(text, whole, 1010, 100).snapshot.endpoints == whole.endpoints);
+    CHECK(discovery::read_snapshot(text, whole, 1010, 100).age == 10);
+    CHECK(read(text, whole, 1101) == fault::expired);
     CHECK(read(text, whole, 1000 - 3600) == fault::none); // the clock went back: its age is unknown
-    CHECK(read(text, {"p1", "127.0.0.1:1", 0, {}}, 1010) == fault::foreign);
-    CHECK(read(text, {"p0", "127.0.0.1:2", 0, {}}, 1010) == fault::foreign);
-    CHECK(read("", whole, 1010) == fault::torn);
-    CHECK(read(text.substr(0, text.size() - 1), whole, 1010) == fault::torn);
-    CHECK(read("harrierpass-snapshot 2" + text.substr(22), whole, 1010) == fault::version);
+    CHECK(read(text, {"p1", "127.0.0.1:1", 0, {}}, 1010) == fault::other_source);
+    CHECK(read(text, {"p0", "127.0.0.1:2", 0, {}}, 1010) == fault::other_source);
+    CHECK(read("", whole, 1010) == fault::truncated);
+    CHECK(read(text.substr(0, text.size() - 1), whole, 1010) == fault::truncated);
+    CHECK(read("harrierpass-snapshot 2" + text.substr(22), whole, 1010) == fault::unknown_version);
     std::string flipped = text;
     flipped.back() = ' ';
-    CHECK(read(flipped, whole, 1010) == fault::damaged);
+    CHECK(read(flipped, whole, 1010) == fault::checksum_mismatch);
     std::minstd_rand chance(11);
     for (int i = 0; i < 50000; ++i) {
         const std::string bad = damaged(text, chance);
@@ -330,26 +330,27 @@
     std::minstd_rand chance(13);
     int believed = 0, doubted = 0, unusable = 0;
     for (int i = 0; i < 50000; ++i) {
-        startup::list_calls calls({.service = startup::list_form::shared, .peers = 300, .must_ask_in = 10},
-                                  static_cast<std::uint32_t>(i), 0, 40);
-        calls.begin(calls.due());
+        discovery::poll_schedule calls(
+            {.service = discovery::list_service_kind::shared, .proxy_count = 300, .max_poll_interval = 10},
+            static_cast<std::uint32_t>(i), 0, 40);
+        calls.start_poll(calls.next_poll_at());
         try {
-            const server_list list =
-                read_list(read_json(i % 2 == 0 ? damaged(text, chance) : another(chance)), names);
-            startup::list_facts facts{list.whole, list.revision, 40, 8, 0, 0};
+            const endpoint_list list =
+                read_endpoint_list(read_json(i % 2 == 0 ? damaged(text, chance) : another(chance)), names);
+            discovery::snapshot_facts facts{list.is_snapshot, list.revision, 40, 8, 0, 0};
             for (const auto &each : list.items) {
-                facts.named += each.as.state != listing::gone;
-                facts.common +=
+                facts.named_endpoints += each.info.state != endpoint_state::removed;
+                facts.common_endpoints +=
                     each.id.size() == 3 && each.id.starts_with("s-") && each.id[2] >= '0' && each.id[2] < '8';
             }
-            const bool taken = calls.came(1, facts);
+            const bool taken = calls.on_update(1, facts);
             (taken ? believed : doubted) += 1;
-            if (taken && list.whole) {
-                CHECK(facts.named > 0);
-                CHECK(facts.common >= 4);
+            if (taken && list.is_snapshot) {
+                CHECK(facts.named_endpoints > 0);
+                CHECK(facts.common_endpoints >= 4);
                 CHECK(facts.revision >= 40);
             }
-        } catch (const bad_text &) {
+        } catch (const parse_error &) {
             ++unusable;
         }
     }
--- a/tests/lab_test.cpp
+++ b/tests/lab/lab_test.cpp
@@ -2,9 +2,9 @@
 // The laboratory: its models, its referee (which must see what is planted, and nothing where nothing is), its
 // files, and the real proxy on sockets before it.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
-#include "helpers.hpp"
-#include "lab_helpers.hpp"
-#include "process_helpers.hpp"
+#include "support/helpers.hpp"
+#include "support/lab_helpers.hpp"
+#include "support/process_helpers.hpp"
 
 #include "lab/judge/plot.hpp"
 #include "lab/judge/report.hpp"
@@ -257,8 +257,9 @@
 TEST_CASE("a deduplicated operation may run again only where nobody was at fault") {
     const auto broken = [](const std::string &group, double second_at, bool held) {
         experiment given = made("");
-        given.use_cases[1].decides.group = group == "all" ? repeat_group::all : repeat_group::cell;
-        given.use_cases[1].decides.window = 2;
+        given.use_cases[1].decides.scope =
+            group == "all" ? deduplication_scope::all : deduplication_scope::cell;
+        given.use_cases[1].decides.deduplication_window = 2;
         timeline clock;
         referee judge(clock, given, 0);
         judge.asked(7, 0, 0, 1, 100);
--- a/tests/many_test.cpp
+++ b/tests/lab/many_test.cpp
@@ -2,9 +2,9 @@
 // Many processes and what breaks between them: each fault of a link and of a process is made, and seen where
 // it should be; the referee over processes sees what is planted and judges events in their order.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
-#include "helpers.hpp"
-#include "lab_helpers.hpp"
-#include "process_helpers.hpp"
+#include "support/helpers.hpp"
+#include "support/lab_helpers.hpp"
+#include "support/process_helpers.hpp"
 
 #include "lab/judge/report.hpp"
 #include "lab/links/relay.hpp"
@@ -462,7 +462,7 @@
     CHECK(came.size() == 6);
     CHECK(service.watches() == 1);
     list.on_change = [&](const member_list::member &) { service.changed(); };
-    list.publish({1, listing::draining, 0, 0});
+    list.publish({1, endpoint_state::draining, 0, 0});
     REQUIRE(came.size() == 7);
     CHECK(came[6].second.members.size() == 1);
     service.call(list.revision(), 1, done);
--- a/tests/crossings_test.cpp
+++ b/tests/proxy/crossings_test.cpp
@@ -2,7 +2,7 @@
 // Crossings: what a request, an answer, a change of the list or a signal does that comes between two lines of
 // the proxy. Each is forced: the other side holds back an accept, an answer or a byte until what it has to
 // cross has been seen. docs/crossings.md has a line for each.
-#include "stand.hpp"
+#include "support/stand.hpp"
 
 #include "net/http.hpp"
 #include "net/threads.hpp"
@@ -44,9 +44,9 @@
 }
 
 void tell(stand &with, const std::string &list) {
-    const auto before = with.proxy->counted().of(count::lists);
+    const auto before = with.proxy->counts().of(counter::endpoint_updates);
     with.discovery.push(ok(list));
-    wait_until([&] { return with.proxy->counted().of(count::lists) > before; });
+    wait_until([&] { return with.proxy->counts().of(counter::endpoint_updates) > before; });
 }
 
 // All that came on a connection, to its end or reset.
@@ -67,19 +67,19 @@
     stand with({.replies = {"hold"}, .statement_ms = 9000, .dial_ms = 8000, .window_ms = 400});
     const full_server late;
     tell(with, list_with(with, late.at()));
-    const auto &count = with.proxy->counted();
+    const auto &count = with.proxy->counts();
     toy_client client(with.port);
     const double sent = steady_now();                 // before it was
     client.send(asks("book", key_of("s0"), "8000m")); // the system dials again after 1, 3 and 7 s
     with.servers[0].wait_for(1);
-    const auto dials = count.of(count::server_dials);
+    const auto dials = count.of(counter::upstream_connects);
     with.servers[0].push("reset");
-    wait_until([&] { return count.of(count::server_dials) > dials; });
+    wait_until([&] { return count.of(counter::upstream_connects) > dials; });
     REQUIRE(steady_now() < sent + 0.3); // the second execution was decided on inside the window
     wait_until([&] { return steady_now() > sent + 0.4; });
     const tcp_socket came = late.make_room();
     CHECK(told(client.read()) == "HTTP/1.1 502 []"); // it may have run: no rejection
-    CHECK(count.of(count::sent) == 1);
+    CHECK(count.of(counter::attempts_sent) == 1);
     with.proxy.reset();
     CHECK(all_of(came).find("/book/") == std::string::npos);
 }
@@ -89,10 +89,10 @@
     stand with({.statement_ms = 9000, .dial_ms = 8000});
     const full_server late;
     tell(with, list_with(with, late.at()));
-    const auto &count = with.proxy->counted();
+    const auto &count = with.proxy->counts();
     toy_client client(with.port);
     client.send(asks("bill", key_of("s1"), "8000m"));
-    wait_until([&] { return count.of(count::server_dials) > 0; });
+    wait_until([&] { return count.of(counter::upstream_connects) > 0; });
     tell(with, list_with(with, late.at(), "leaving"));
     const tcp_socket came = late.make_room();
     CHECK(told(client.read()) == "HTTP/1.1 200 [value]"); // by the other one
@@ -129,7 +129,7 @@
     });
     CHECK(told(client.ask(asked)) == "HTTP/1.1 200 [value]");
     resets.join();
-    CHECK(with.proxy->counted().of(count::ended_connect_error) == 1);
+    CHECK(with.proxy->counts().of(counter::attempts_connect_error) == 1);
     CHECK(with.servers[0].count() == 1);
 }
 
@@ -138,16 +138,16 @@
 // Guards servers against work for nobody: the client leaves during the first attempt, which then breaks.
 TEST_CASE("crossing: a client leaves before a further attempt") {
     stand with({.replies = {"hold"}});
-    const auto &count = with.proxy->counted();
+    const auto &count = with.proxy->counts();
     {
         toy_client client(with.port);
         client.send(asks("read", key_of("s0")));
         with.servers[0].wait_for(1);
     }
-    wait_until([&] { return count.of(count::left) == 1; });
+    wait_until([&] { return count.of(counter::client_disconnects) == 1; });
     with.servers[0].push("reset");
-    wait_until([&] { return count.of(count::clients_ended) > 1; }); // the stand's own one, too
-    CHECK(count.of(count::sent) == 1);
+    wait_until([&] { return count.of(counter::client_connections_closed) > 1; }); // the stand's own one, too
+    CHECK(count.of(counter::attempts_sent) == 1);
     with.proxy.reset();
     CHECK(with.executions() == 1);
 }
@@ -158,8 +158,8 @@
 TEST_CASE("crossing: bytes behind the last query of a connection") {
     const std::string body(60000, 'v');
     stand with({.replies = {"hold"}});
-    const auto &count = with.proxy->counted();
-    const auto ended = count.of(count::clients_ended);
+    const auto &count = with.proxy->counts();
+    const auto ended = count.of(counter::client_connections_closed);
     tcp_socket client(::socket(AF_INET, SOCK_STREAM, 0));
     const int little = 1024; // bytes; most of the answer waits on the proxy's side
     ::setsockopt(client.get(), SOL_SOCKET, SO_RCVBUF, &little, sizeof little);
@@ -171,7 +171,7 @@
     with.servers[0].wait_for(1);
     test::write_text(client.get(), asks("read", key_of("s1")));
     with.servers[0].push(ok(body));
-    wait_until([&] { return count.of(count::clients_ended) > ended; });
+    wait_until([&] { return count.of(counter::client_connections_closed) > ended; });
     const std::string answer = all_of(client);
     CHECK(answer.starts_with("HTTP/1.1 200"));
     CHECK(answer.ends_with("\r\n\r\n" + body));
@@ -264,27 +264,27 @@
             const auto given = read_configuration(text);
             double longest = 0; // pause that the router makes after a lost call
             for (std::uint32_t seed = 1; seed <= 20; ++seed) {
-                const auto decides = make_router(given.decisions, seed, 0);
+                const auto decides = make_router(given.router, seed, 0);
                 double now = 0;
                 for (int calls = 0; calls < 20; ++calls) {
-                    decides->listed(now, list_kind::lost, {});
+                    decides->on_endpoints_updated(now, endpoint_update_kind::poll_failed, {});
                     const double from = now;
                     for (bool asks = false; !asks; now += asks ? 0 : 0.01) {
                         decides->actions.clear();
-                        decides->woken(now);
+                        decides->on_timer(now);
                         asks = std::ranges::any_of(decides->actions, [](const action &each) {
-                            return each.kind == action_kind::subscribe;
+                            return each.kind == action_kind::watch_endpoints;
                         });
                     }
                     longest = std::max(longest, now - from);
                 }
             }
-            const double dial = given.list_terms.agent_limit, answer = given.list_terms.agent_limit;
+            const double dial = given.poll.agent_response_timeout, answer = given.poll.agent_response_timeout;
             CAPTURE(form);
             CAPTURE(grace_ms);
             CHECK(dial + answer + longest + looks + dial + answer < told_in - 0.3);
             // A watch that fell silent: 6 s after that, or 2 s after its wait was over.
-            const double wait = given.list_terms.agent_wait;
+            const double wait = given.poll.agent_watch_timeout;
             CHECK(wait + answer + 0.75 + looks < std::max(told_in, wait + 2) - 0.3);
         }
     }
--- a/tests/operators_test.cpp
+++ b/tests/proxy/operators_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 // The operators' parts: their door, its figures, servers out by hand, clients sent away.
-#include "stand.hpp"
+#include "support/stand.hpp"
 
 #include <random>
 
@@ -52,7 +52,7 @@
     for (const std::string &at : {std::string("nonsense"), with.servers[0].at()}) {
         std::string config = with.config;
         config.replace(config.find(any), any.size(), R"("control":")" + at + "\"");
-        CHECK_THROWS(service(read_configuration(config), with.lines, level::warning));
+        CHECK_THROWS(service(read_configuration(config), with.lines, log_level::warning));
     }
 }
 
@@ -71,7 +71,8 @@
     const auto still = [&] {
         return std::count_if(silent.begin(), silent.end(), [](auto &each) { return !each.ended_now(); });
     };
-    while (still() > static_cast<std::ptrdiff_t>(control::most_callers)) // the last ones are being taken
+    while (still() >
+           static_cast<std::ptrdiff_t>(control_server::max_connections)) // the last ones are being taken
         std::this_thread::yield();
     CHECK(std::chrono::steady_clock::now() - from < std::chrono::seconds(4)); // none waited a silent one out
 }
@@ -148,28 +149,29 @@
 // Guards a server that operators take out while a probe's connection comes up: nothing is written to it.
 TEST_CASE("a probe that meets a ban") {
     stand with({.starts = false});
-    desk decides(std::make_shared<const configuration>(read_configuration(with.config)));
-    decides.on_probe = [](index) {};
-    decides.on_subscribe = [] {};
+    dispatcher decides(std::make_shared<const configuration>(read_configuration(with.config)));
+    decides.on_check_health = [](index) {};
+    decides.on_watch_endpoints = [] {};
     counters count;
     std::ostringstream lines;
-    log log_to(lines, level::debug);
+    log log_to(lines, log_level::debug);
     buffer_pool buffers;
-    upstream servers(5, 1, 100, count, log_to);
+    upstream_pool servers(5, 1, 100, count, log_to);
     const full_server late;
-    servers.place(0, "s0", late.at(), 0, decides.now());
+    servers.set_endpoint(0, "s0", late.at(), 0, decides.now());
     {
-        prober probes(decides, servers, buffers, count);
-        decides.listed(list_kind::whole, {{list_entry{.server = 0, .id = "s0"}}});
+        health_checker probes(decides, servers, buffers, count);
+        decides.endpoints_updated(endpoint_update_kind::snapshot,
+                                  {{endpoint_info{.endpoint = 0, .id = "s0"}}});
         probes.start(0);
-        while (count.of(count::server_dials) == 0)
+        while (count.of(counter::upstream_connects) == 0)
             std::this_thread::yield();
-        servers.set_out(0, true);
+        servers.set_disabled(0, true);
         const tcp_socket probe = late.make_room();
         char byte;
         CHECK(::recv(probe.get(), &byte, 1, 0) == 0); // ended, and nothing was written
     }
-    CHECK(count.of(count::probes) == 0);
+    CHECK(count.of(counter::health_checks) == 0);
 }
 
 TEST_CASE("clients are sent away, and come back") {
@@ -334,14 +336,15 @@
 }
 
 TEST_CASE("messages between two processes") {
-    const std::vector<news> all = {
-        {news::kind::out, "s 1:2\n"}, {news::kind::away, "1"}, {news::kind::ready, ""}};
+    const std::vector<peer_message> all = {{peer_message::kind::endpoint_disabled, "s 1:2\n"},
+                                           {peer_message::kind::draining, "1"},
+                                           {peer_message::kind::ready, ""}};
     const auto back = read_message(to_message(all));
     REQUIRE(back.size() == 3);
     CHECK(back[0].text == "s 1:2\n");
-    CHECK(back[2].what == news::kind::ready);
+    CHECK(back[2].type == peer_message::kind::ready);
     for (const char *bad : {"x1:a", "o2:a", "o", "o-1:", "o9999999999999999999:", "1:a"})
-        CHECK_THROWS_AS(read_message(bad), bad_text);
+        CHECK_THROWS_AS(read_message(bad), parse_error);
 }
 
 // ---- Size
@@ -411,7 +414,8 @@
         const auto at = config.find(R"("known":{)"), end = config.find(R"(,"settings")");
         config.replace(at, end - at, R"("known":null)");
         with.config = config;
-        proxy = std::make_unique<service>(read_configuration(only(with, server.port)), lines, level::debug);
+        proxy =
+            std::make_unique<service>(read_configuration(only(with, server.port)), lines, log_level::debug);
         port = ntohs(reinterpret_cast<const sockaddr_in &>(proxy->at().where).sin_port);
     }
     stand with;
--- a/tests/planned_stop_test.cpp
+++ b/tests/proxy/planned_stop_test.cpp
@@ -2,7 +2,7 @@
 // Planned stops: SIGTERM, then SIGKILL at the earliest moment that the deployment allows, which is the
 // longest deadline of its settings (3 s at most) and 0.7 s after the signal. Clients go on using the
 // connections that stay open until then. See docs/incidents/planned-stop.md.
-#include "stand.hpp"
+#include "support/stand.hpp"
 
 #include "net/threads.hpp"
 
@@ -136,11 +136,11 @@
         CAPTURE(longest);
         const stop_schedule stop = stop_schedule_for(longest);
         CHECK(stop.earliest_kill == doctest::Approx(std::min(longest, 3.0) + kill_delay));
-        CHECK(stop.last_answer <= stop.earliest_kill - hold_up);
+        CHECK(stop.respond_by <= stop.earliest_kill - hold_up);
         CHECK(stop.accept_until > front);
         CHECK(stop.accept_until <= stop.earliest_kill - hold_up);
         CHECK(stop.close_idle > 0);
-        CHECK(stop.close_idle + stop.least_idle < stop.last_answer);
+        CHECK(stop.close_idle + stop.min_idle < stop.respond_by);
     }
     CHECK(longest_deadline(std::vector{0.2, 0.345, 0.1}) == 0.345);
     CHECK(longest_deadline({}) == 0);
--- a/tests/proxy_test.cpp
+++ b/tests/proxy/proxy_test.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
-#include "stand.hpp"
+#include "support/stand.hpp"
 
 #include "net/http.hpp"
 #include "proxy/service.hpp"
-#include "setup/setup.hpp"
+#include "settings/settings_reader.hpp"
 
 #include <atomic>
 #include <doctest/doctest.h>
@@ -18,9 +18,9 @@
 std::string of_json(const std::string &text) {
     try {
         const json made = read_json(text);
-        return made.is == json::kind::object ? std::string(made.text_at("a")) : made.text;
-    } catch (const bad_text &bad) {
-        return bad.why;
+        return made.type == json::kind::object ? std::string(made.string_at("a")) : made.text;
+    } catch (const parse_error &bad) {
+        return bad.reason;
     }
 }
 
@@ -39,28 +39,28 @@
 }
 
 // Reads a message that comes in parts of `step` bytes.
-std::string of_http(const std::string &text, http_reader::side which, std::size_t step = 100000) {
+std::string of_http(const std::string &text, http_reader::message_kind which, std::size_t step = 100000) {
     static constexpr std::array<const char *, 4> states = {"more", "whole", "malformed", "too large"};
     std::vector<char> buffer(buffer_size);
     http_reader reader(buffer, which);
-    auto state = http_reader::state::more;
-    for (std::size_t at = 0; at < text.size() && state == http_reader::state::more;) {
-        const std::size_t size = std::min({step, text.size() - at, reader.room().size()});
-        std::copy_n(text.data() + at, size, reader.room().data());
+    auto state = http_reader::state::incomplete;
+    for (std::size_t at = 0; at < text.size() && state == http_reader::state::incomplete;) {
+        const std::size_t size = std::min({step, text.size() - at, reader.free_space().size()});
+        std::copy_n(text.data() + at, size, reader.free_space().data());
         at += size;
-        state = reader.took(size);
+        state = reader.received(size);
     }
     std::string said = states[static_cast<std::size_t>(state)];
-    if (state == http_reader::state::whole)
-        said.append(" [").append(reader.body()).append("] [").append(reader.rest()).append("]");
+    if (state == http_reader::state::complete)
+        said.append(" [").append(reader.body()).append("] [").append(reader.pipelined_bytes()).append("]");
     return said;
 }
 
 TEST_CASE("HTTP: whole messages, in any parts") {
-    const auto request = http_reader::side::request, answer = http_reader::side::answer;
+    const auto request = http_reader::message_kind::request, answer = http_reader::message_kind::response;
     for (const std::size_t step : {1, 2, 3, 7, 100000}) {
         CAPTURE(step);
-        const auto is = [&](const std::string &text, http_reader::side which) {
+        const auto is = [&](const std::string &text, http_reader::message_kind which) {
             return of_http(text, which, step);
         };
         CHECK(is("GET /a/b HTTP/1.1\r\nHost: x\r\n\r\n", request) == "whole [] []");
@@ -80,10 +80,10 @@
         interim += "HTTP/1.1 100 \r\n\r\n";
     CHECK(of_http(interim + "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nz", answer, 60000) ==
           "whole [z] []");
-    const std::string full(body_limit, 'v');
+    const std::string full(max_body_size, 'v');
     CHECK(of_http("PUT /a HTTP/1.1\r\nContent-Length: 65536\r\n\r\n" + full, request).starts_with("whole"));
     CHECK(of_http("PUT /a HTTP/1.1\r\nContent-Length: 99999\r\n\r\n", request) == "too large");
-    CHECK(of_http("GET /" + std::string(head_limit, 'a'), request) == "too large");
+    CHECK(of_http("GET /" + std::string(max_head_size, 'a'), request) == "too large");
     CHECK(of_http("PUT /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nfffff\r\n", request) == "too large");
 }
 
@@ -110,12 +110,12 @@
                             "PUT /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nx\r\n",
                             "PUT /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n"}) {
         CAPTURE(bad);
-        CHECK(of_http(bad, http_reader::side::request) == "malformed");
+        CHECK(of_http(bad, http_reader::message_kind::request) == "malformed");
     }
     for (const char *bad :
          {"HTTP/1.1 20 OK\r\n\r\n", "HTTP/1.1 2000 OK\r\n\r\n", "HTTP/1.1  200\r\n\r\n", "200 OK\r\n\r\n"}) {
         CAPTURE(bad);
-        CHECK(of_http(bad, http_reader::side::answer) == "malformed");
+        CHECK(of_http(bad, http_reader::message_kind::response) == "malformed");
     }
 }
 
@@ -132,7 +132,8 @@
             one[chance() % one.size()] = static_cast<char>(chance());
             two[chance() % two.size()] = static_cast<char>(chance());
         }
-        whole_ones += of_http(one, http_reader::side::request, 1 + chance() % 20).starts_with("whole");
+        whole_ones +=
+            of_http(one, http_reader::message_kind::request, 1 + chance() % 20).starts_with("whole");
         of_json(two);
     }
     CHECK(whole_ones > 100); // most hits fall where any byte may stand
@@ -140,10 +141,10 @@
 }
 
 TEST_CASE("deadlines and their units") {
-    CHECK(deadline_seconds("480m") == doctest::Approx(0.48));
-    CHECK(deadline_seconds("1500u") == doctest::Approx(0.0015));
+    CHECK(parse_timeout("480m") == doctest::Approx(0.48));
+    CHECK(parse_timeout("1500u") == doctest::Approx(0.0015));
     for (const char *bad : {"", "m", "5", "5s", "-1m", "1e400m", "nanm", "5 m"})
-        CHECK(deadline_seconds(bad) < 0);
+        CHECK(parse_timeout(bad) < 0);
 }
 
 // ---- The proxy on loopback
@@ -196,10 +197,10 @@
     toy_client client(with.port);
     for (int i = 0; i < 60; ++i)
         CHECK(told(client.ask(asks("read", std::to_string(i)))) == "HTTP/1.1 200 [value]");
-    const auto &counted = with.proxy->counted();
-    CHECK(counted.of(count::ended_spoilt) > 4);
-    CHECK(counted.of(count::ended_spoilt) == counted.of(count::ended_error));
-    CHECK(counted.of(count::probes) == 0);
+    const auto &counted = with.proxy->counts();
+    CHECK(counted.of(counter::attempts_malformed) > 4);
+    CHECK(counted.of(counter::attempts_malformed) == counted.of(counter::attempts_error));
+    CHECK(counted.of(counter::health_checks) == 0);
     with.proxy->end(0);
     CHECK(with.lines.str().find("reason=suspect") == std::string::npos);
     CHECK(with.lines.str().find("reason=spoilt") != std::string::npos);
@@ -215,7 +216,7 @@
     CHECK(with.servers[1].count() == 1);
     CHECK(told(client.ask(asks("bill", "1"))) == "HTTP/1.1 200 [value]"); // a write
     CHECK(with.servers[1].count() == 2);
-    CHECK(with.proxy->counted().of(count::ended_miss) == 1);
+    CHECK(with.proxy->counts().of(counter::attempts_cache_miss) == 1);
 }
 
 TEST_CASE("what a server is sent") {
@@ -339,7 +340,7 @@
             CHECK(told(client.ask(asks("read", std::to_string(key)))) == "HTTP/1.1 200 [value]");
         before = next;
     }
-    CHECK(with.proxy->server_places() <= 4);
+    CHECK(with.proxy->endpoint_slots() <= 4);
     CHECK(with.servers[0].count() > 20);
     with.proxy->end(0);
     CHECK(with.lines.str().find("server=n5 executions=") != std::string::npos);
@@ -354,9 +355,9 @@
     const auto from = std::chrono::steady_clock::now();
     CHECK(told(client.ask(asks("read", "1"))) == "HTTP/1.1 200 [value]");
     CHECK(std::chrono::steady_clock::now() - from < std::chrono::milliseconds(2000));
-    CHECK(with.proxy->counted().of(count::ended_canceled) == 1);
+    CHECK(with.proxy->counts().of(counter::attempts_canceled) == 1);
     // Then it is probed, answers, and has its key back.
-    while (with.proxy->counted().of(count::probes_answered) == 0)
+    while (with.proxy->counts().of(counter::health_checks_answered) == 0)
         std::this_thread::yield();
     auto &silent = with.servers[with.servers[0].last().starts_with("GET /ping") ? 0 : 1];
     while (!silent.last().starts_with("GET /read/1"))
@@ -379,11 +380,11 @@
 // is held. Guards a held query's place, and its client's leaving.
 TEST_CASE("held queries") {
     stand with({.replies = std::vector<std::string>(40, "hold")});
-    const auto &counted = with.proxy->counted();
+    const auto &counted = with.proxy->counts();
     std::list<toy_client> clients;
     for (std::size_t total = 1; total <= 17; ++total) {
         clients.emplace_back(with.port).send(asks("audit", std::to_string(total)));
-        while (counted.of(count::taken) < total)
+        while (counted.of(counter::requests) < total)
             std::this_thread::yield();
     }
     while (with.executions() < 16)
@@ -393,10 +394,10 @@
     while (with.executions() < 17)
         std::this_thread::yield();
     clients.emplace_back(with.port).send(asks("audit", "18"));
-    while (counted.of(count::taken) < 18)
+    while (counted.of(counter::requests) < 18)
         std::this_thread::yield();
     clients.pop_back();
-    while (counted.of(count::left) == 0)
+    while (counted.of(counter::client_disconnects) == 0)
         std::this_thread::yield();
     CHECK(with.executions() == 17);
     for (int i = 0; i < 20; ++i)
@@ -417,7 +418,7 @@
     std::list<toy_client> clients;
     for (std::size_t total = 1; total <= 17; ++total) {
         clients.emplace_back(with.port).send(asks("audit", std::to_string(total)));
-        while (with.proxy->counted().of(count::taken) < total)
+        while (with.proxy->counts().of(counter::requests) < total)
             std::this_thread::yield();
     }
     while (with.executions() < 16)
@@ -438,23 +439,23 @@
     toy_server server([](const std::string &) { return ok("value"); });
     std::ostringstream lines;
     counters counted;
-    log to(lines, level::info);
-    upstream servers(0.25, 5, 6, counted, to);
-    servers.place(0, "s0", server.at(), 0, 0);
-    servers.place(1, "s1", server.at(), 0, 0);
-    std::list<server_connection> in_use;
+    log to(lines, log_level::info);
+    upstream_pool servers(0.25, 5, 6, counted, to);
+    servers.set_endpoint(0, "s0", server.at(), 0, 0);
+    servers.set_endpoint(1, "s1", server.at(), 0, 0);
+    std::list<upstream_connection> in_use;
     for (index i = 0; i < 4; ++i)
-        in_use.push_back(servers.take(0, 1));
+        in_use.push_back(servers.acquire(0, 1));
     for (auto &each : in_use)
-        servers.keep(std::move(each), 1);
-    servers.leave_to_clients(1, 1);
-    auto other = servers.take(1, 1); // the sixth descriptor
+        servers.release(std::move(each), 1);
+    servers.reserve_for_clients(1, 1);
+    auto other = servers.acquire(1, 1); // the sixth descriptor
     CHECK(other.socket);
     CHECK(lines.str().empty());
-    servers.leave_to_clients(2, 1);
+    servers.reserve_for_clients(2, 1);
     CHECK(lines.str().find("server=s0 executions=0 open=0 rested=0 reason=reclaimed") != std::string::npos);
-    CHECK(servers.take(0, 1).socket); // a kept one
-    CHECK(counted.of(count::server_dials) == 5);
+    CHECK(servers.acquire(0, 1).socket); // a kept one
+    CHECK(counted.of(counter::upstream_connects) == 5);
 }
 
 // Guards against a server that ends its connections right after an answer: what has rested goes first.
@@ -462,19 +463,19 @@
     toy_server server([](const std::string &) { return ok("value"); });
     std::ostringstream lines;
     counters counted;
-    log to(lines, level::info);
-    upstream servers(0.25, 5, 6, counted, to);
-    servers.place(0, "s0", server.at(), 0, 0);
-    auto first = servers.take(0, 1), second = servers.take(0, 1);
+    log to(lines, log_level::info);
+    upstream_pool servers(0.25, 5, 6, counted, to);
+    servers.set_endpoint(0, "s0", server.at(), 0, 0);
+    auto first = servers.acquire(0, 1), second = servers.acquire(0, 1);
     const int older = first.socket.get(), latest = second.socket.get();
-    servers.keep(std::move(first), 1);
-    servers.keep(std::move(second), 1.1);
-    auto used = servers.take(0, 1.101);
+    servers.release(std::move(first), 1);
+    servers.release(std::move(second), 1.1);
+    auto used = servers.acquire(0, 1.101);
     CHECK(used.socket.get() == older);
-    servers.keep(std::move(used), 1.102);
-    CHECK(servers.take(0, 1.2).socket.get() == older); // both have rested: the latest
-    CHECK(servers.take(0, 1.2).socket.get() == latest);
-    CHECK(counted.of(count::server_dials) == 2);
+    servers.release(std::move(used), 1.102);
+    CHECK(servers.acquire(0, 1.2).socket.get() == older); // both have rested: the latest
+    CHECK(servers.acquire(0, 1.2).socket.get() == latest);
+    CHECK(counted.of(counter::upstream_connects) == 2);
 }
 
 // Guards other queries' connections: where a process died they show it themselves.
@@ -507,7 +508,7 @@
     const std::string refused = toy_client(with.port).ask(asks("bill", "99"));
     CHECK(refused.starts_with("HTTP/1.1 503"));
     CHECK(refused.find("\r\nRetry-After: 1.500\r\n") != std::string::npos);
-    CHECK(with.proxy->counted().of(count::crowded_out) == 1);
+    CHECK(with.proxy->counts().of(counter::rejected_too_many_connections) == 1);
     CHECK(with.executions() == 16);
     for (int i = 0; i < 20; ++i)
         for (auto &server : with.servers)
@@ -541,8 +542,8 @@
     CHECK(slow.read() == "HTTP/1.1 100 Continue\r\n\r\n");
     CHECK(told(slow.ask("body")) == "HTTP/1.1 200 [value]");
     toy_client(with.port).send("GET /read/1 HT");
-    while (with.proxy->counted().of(count::clients_ended) <
-           with.proxy->counted().of(count::clients_accepted) - 1)
+    while (with.proxy->counts().of(counter::client_connections_closed) <
+           with.proxy->counts().of(counter::client_connections_accepted) - 1)
         std::this_thread::yield();
     with.proxy->end(0);
     CHECK(with.lines.str().find(" reason=client_cut") != std::string::npos);
@@ -556,14 +557,14 @@
         client.send(asks("read", "1"));
         with.wait_for_execution();
     }
-    while (with.proxy->counted().of(count::left) == 0)
+    while (with.proxy->counts().of(counter::client_disconnects) == 0)
         std::this_thread::yield();
-    CHECK(with.proxy->counted().of(count::ended_completed) == 0);
+    CHECK(with.proxy->counts().of(counter::attempts_completed) == 0);
     for (auto &server : with.servers)
         server.push(ok("late"));
-    while (with.proxy->counted().of(count::ended_completed) == 0)
+    while (with.proxy->counts().of(counter::attempts_completed) == 0)
         std::this_thread::yield();
-    CHECK(with.proxy->counted().of(count::completed) == 0);
+    CHECK(with.proxy->counts().of(counter::completed) == 0);
     CHECK(told(toy_client(with.port).ask(asks("read", "1"))) == "HTTP/1.1 200 [value]");
 }
 
@@ -576,17 +577,17 @@
         list.replace(list.find(each.at()), each.at().size(), late.at());
     with.discovery.push(ok(list));
     with.discovery.wait_for(3);
-    auto &count = with.proxy->counted();
+    auto &count = with.proxy->counts();
     {
         toy_client client(with.port);
         client.send(asks("bill", "1"));
-        while (count.of(count::server_dials) == 0)
+        while (count.of(counter::upstream_connects) == 0)
             std::this_thread::yield();
     }
     const tcp_socket came = late.make_room();
-    while (count.of(count::left) == 0)
+    while (count.of(counter::client_disconnects) == 0)
         std::this_thread::yield();
-    CHECK(count.of(count::sent) == 0);
+    CHECK(count.of(counter::attempts_sent) == 0);
     std::array<char, 64> bytes{};
     with.proxy.reset(); // its connections end; a probe may have been written meanwhile, the query never
     CHECK(::recv(came.get(), bytes.data(), bytes.size(), 0) >= 0);
@@ -602,11 +603,11 @@
         // The first is ended by its server, the others as they are idle near the limit.
         while (ended == 0 && with.servers[0].open() + with.servers[1].open() > 0)
             std::this_thread::yield();
-        while (ended > 0 && with.proxy->counted().of(count::server_kept_stale) <= ended)
+        while (ended > 0 && with.proxy->counts().of(counter::upstream_connections_stale) <= ended)
             std::this_thread::yield();
     }
     CHECK(with.servers[0].connections() + with.servers[1].connections() == 3);
-    CHECK(with.proxy->counted().of(count::ended_reset) == 0);
+    CHECK(with.proxy->counts().of(counter::attempts_reset) == 0);
     CHECK(with.executions() == 3);
 }
 
@@ -621,12 +622,12 @@
     with.discovery.wait_for(3); // the next watch: the list has been told
     for (int key = 0; key < 8; ++key)
         CHECK(told(toy_client(with.port).ask(asks("bill", std::to_string(key)))) == "HTTP/1.1 200 [value]");
-    CHECK(with.proxy->counted().of(count::ended_connect_error) > 0);
+    CHECK(with.proxy->counts().of(counter::attempts_connect_error) > 0);
     CHECK(with.servers[0].count() == 0);
     CHECK(with.servers[1].count() == 8);
-    while (with.proxy->counted().of(count::probes) == 0)
+    while (with.proxy->counts().of(counter::health_checks) == 0)
         std::this_thread::yield();
-    CHECK(with.proxy->counted().of(count::probes_answered) == 0);
+    CHECK(with.proxy->counts().of(counter::health_checks_answered) == 0);
 }
 
 // Guards "drains are kept" on the list's way, and the old list while discovery is lost.
@@ -643,12 +644,12 @@
     ask_all();
     CHECK(with.servers[0].count() == 0);
     with.discovery.push("cut:HTTP/1.1 500 Down\r\nContent-Length: 0\r\n\r\n");
-    while (with.proxy->counted().of(count::lists_lost) == 0)
+    while (with.proxy->counts().of(counter::polls_failed) == 0)
         std::this_thread::yield();
     ask_all();
     CHECK(with.servers[0].count() == 0);
     with.discovery.wait_for(4); // asked again, for the whole list, in which the server is back
-    while (with.proxy->counted().of(count::lists) < 3)
+    while (with.proxy->counts().of(counter::endpoint_updates) < 3)
         std::this_thread::yield();
     ask_all();
     CHECK(with.servers[0].count() > 0);
@@ -659,7 +660,7 @@
     stand with({.silent = true});
     CHECK(told(toy_client(with.port).ask(asks("read", "1"))) == "HTTP/1.1 200 [value]");
     with.discovery.wait_for(3);
-    CHECK(with.proxy->counted().of(count::lists_lost) >= 2);
+    CHECK(with.proxy->counts().of(counter::polls_failed) >= 2);
     const std::size_t before = with.servers[0].count();
     with.leaving = true;
     with.silent = false;
@@ -794,8 +795,8 @@
         std::string made = with.config;
         try {
             read_configuration(made.replace(made.find(from), from.size(), to));
-        } catch (const bad_text &bad) {
-            return bad.why;
+        } catch (const parse_error &bad) {
+            return bad.reason;
         }
         return "";
     };
@@ -820,22 +821,22 @@
     stand with({.starts = false});
     const auto old = std::make_shared<const configuration>(read_configuration(with.config));
     const auto next = std::make_shared<const configuration>(read_configuration(with.config));
-    desk decides(old);
-    decides.on_probe = [](index) {};
-    decides.on_subscribe = [] {};
-    new_query made;
-    made.statement_end = decides.now() + 100;
-    ticket late, held;
-    CHECK(decides.arrived(held, made, old));
-    decides.adopt(next, {});
-    CHECK(decides.given() == next);
-    CHECK_FALSE(decides.arrived(late, made, old));
-    CHECK(decides.finished(late));
-    CHECK_FALSE(decides.finished(held)); // it was taken before, and is still in hand
-    CHECK(decides.arrived(late, made, next));
+    dispatcher decides(old);
+    decides.on_check_health = [](index) {};
+    decides.on_watch_endpoints = [] {};
+    request_info made;
+    made.deadline = decides.now() + 100;
+    request_handle late, held;
+    CHECK(decides.submit(held, made, old));
+    decides.apply(next, {});
+    CHECK(decides.configuration_in_force() == next);
+    CHECK_FALSE(decides.submit(late, made, old));
+    CHECK(decides.is_released(late));
+    CHECK_FALSE(decides.is_released(held)); // it was taken before, and is still in hand
+    CHECK(decides.submit(late, made, next));
     for (auto *const each : {&late, &held}) {
-        decides.left(*each);
-        CHECK(decides.finished(*each));
+        decides.client_disconnected(*each);
+        CHECK(decides.is_released(*each));
     }
 }
 
@@ -896,7 +897,7 @@
     with.wait_for_execution();
     with.proxy->end(0);
     CHECK(client.read().starts_with("HTTP/1.1 50"));
-    CHECK(with.proxy->counted().of(count::aborted) == 1);
+    CHECK(with.proxy->counts().of(counter::aborted) == 1);
 }
 
 // Guards against leaving while clients are still sent here: nothing is open when the end begins.
@@ -929,7 +930,7 @@
     }
     CHECK(closing > 40);
     CHECK(closing < 70);
-    CHECK(with.proxy->counted().of(count::crowded_out) == 0);
+    CHECK(with.proxy->counts().of(counter::rejected_too_many_connections) == 0);
 }
 
 TEST_CASE("counters and configurations") {
@@ -940,7 +941,7 @@
     for (const char *bad :
          {"{}", "[]", R"({"settings":{}})", R"({"listen":"x","discovery":"y","settings":{}})",
           R"({"listen":"x","discovery":"y","settings":{"useCases":[{"sloTimeMs":"a"}]}})"})
-        CHECK_THROWS_AS(read_configuration(bad), bad_text);
+        CHECK_THROWS_AS(read_configuration(bad), parse_error);
 }
 
 } // namespace harrierpass::proxy
--- a/tests/router_test.cpp
+++ b/tests/router/router_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
-#include "helpers.hpp"
+#include "support/helpers.hpp"
 
 #include <cstdio>
 #include <doctest/doctest.h>
@@ -27,31 +27,31 @@
 // A router among `peers`, and the servers s0, s1 ... that its list names.
 struct side {
     explicit side(index peers, std::uint32_t seed = 1) {
-        settings given;
-        given.use_cases.push_back({effect_kind::idempotent, repeat_group::all, 0, 1, 1, 0});
-        given.peers = peers;
-        given.cold = {0.1, 10};
+        router_settings given;
+        given.request_classes.push_back({effect_kind::idempotent, deduplication_scope::all, 0, 1, 1, 0});
+        given.proxy_count = peers;
+        given.slow_start = {0.1, 10};
         route = make_router(given, seed, 0);
     }
-    void list(double now, list_kind kind, index count, double started = 0) {
-        std::vector<list_entry> entries(count);
+    void list(double now, endpoint_update_kind kind, index count, double started = 0) {
+        std::vector<endpoint_info> entries(count);
         for (index i = 0; i < count; ++i) {
-            entries[i].server = i;
+            entries[i].endpoint = i;
             entries[i].id = names[i];
-            entries[i].started = started;
+            entries[i].started_at = started;
         }
-        route->listed(now, kind, entries);
+        route->on_endpoints_updated(now, kind, entries);
     }
     index ask(double now, std::uint64_t key) { // where a query goes, and it is answered; 10: nowhere
-        new_query made{0, 0, 0, true, false, key, now + 100};
+        request_info made{0, 0, 0, true, false, key, now + 100};
         route->actions.clear();
-        route->arrived(now, made);
+        route->on_request(now, made);
         if (route->actions.empty()) { // held
-            route->left(now, 0);
+            route->on_client_disconnected(now, 0);
             return 10;
         }
-        route->ended(now + 0.01, 0, 0, outcome::completed, true, false);
-        return route->actions.at(0).server;
+        route->on_attempt_finished(now + 0.01, 0, 0, outcome::completed, true, false);
+        return route->actions.at(0).endpoint;
     }
     const std::array<std::string, 10> names = {"s0", "s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8", "s9"};
     std::unique_ptr<router> route;
@@ -60,27 +60,27 @@
 // What is called off, and when, at two servers that hold a query each and say nothing, after answers so quick
 // that a silence of twelve of them is a twinkling; sweeps come as usual, but for one gap.
 double called_off_after(double gap_at, double gap) {
-    settings given;
-    given.use_cases.push_back({effect_kind::idempotent, repeat_group::all, 0, 1, 1, 0});
-    given.allow.may_cancel = true;
-    given.allow.max_executions = 3;
+    router_settings given;
+    given.request_classes.push_back({effect_kind::idempotent, deduplication_scope::all, 0, 1, 1, 0});
+    given.constraints.may_cancel = true;
+    given.constraints.max_attempts = 3;
     const auto route = make_router(given, 1, 0);
-    const std::array<list_entry, 2> both = {{{0, "a"}, {1, "b"}}};
-    route->listed(0, list_kind::whole, both);
+    const std::array<endpoint_info, 2> both = {{{0, "a"}, {1, "b"}}};
+    route->on_endpoints_updated(0, endpoint_update_kind::snapshot, both);
     double now = 0.01;
     for (std::uint64_t key = 0; key < 200; ++key, now += 0.0002) {
-        route->arrived(now, {0, 0, 0, true, false, key, now + 9});
-        route->ended(now + 0.0001, 0, 0, outcome::completed, true, false);
+        route->on_request(now, {0, 0, 0, true, false, key, now + 9});
+        route->on_attempt_finished(now + 0.0001, 0, 0, outcome::completed, true, false);
     }
     const double since = now;
-    route->woken(now);
-    route->arrived(now, {0, 0, 0, true, false, 1, now + 9});
-    route->arrived(now, {1, 0, 0, true, false, 2, now + 9});
+    route->on_timer(now);
+    route->on_request(now, {0, 0, 0, true, false, 1, now + 9});
+    route->on_request(now, {1, 0, 0, true, false, 2, now + 9});
     for (route->actions.clear(); now < since + 9;
          now += now - since >= gap_at && gap > 0 ? std::exchange(gap, 0) : 0.05) {
-        route->woken(now);
+        route->on_timer(now);
         if (std::any_of(route->actions.begin(), route->actions.end(),
-                        [](const action &each) { return each.kind == action_kind::cancel; }))
+                        [](const action &each) { return each.kind == action_kind::cancel_attempt; }))
             return now - since;
     }
     return now - since;
@@ -102,7 +102,7 @@
     std::array<int, 11> share{}, hot{}, cold{};
     side one(1);
     for (index round = 0; round < 2; ++round) {
-        one.list(0, list_kind::whole, 10 - round);
+        one.list(0, endpoint_update_kind::snapshot, 10 - round);
         for (index key = 0; key < 3000; ++key)
             share[to[round][key] = one.ask(0, key)] += round == 0;
     }
@@ -118,10 +118,10 @@
           << needless << '\n';
     for (std::uint32_t seed = 1; seed <= 100; ++seed) {
         side each(100, seed * 7654321);
-        each.list(0, list_kind::whole, 10);
+        each.list(0, endpoint_update_kind::snapshot, 10);
         for (std::uint64_t key = 0; key < 60; ++key) // every third query is for one key
             hot[each.ask(1, key % 3 == 0 ? 7 : key)] += key % 3 == 0;
-        each.list(20, list_kind::changes, 1, 20);
+        each.list(20, endpoint_update_kind::delta, 1, 20);
         for (std::uint64_t key = 0; key < 100; ++key)
             ++cold[each.ask(20.02, key * seed)];
     }
@@ -135,7 +135,8 @@
 // The adapter on a short batch with damaged lines: replies and complaints together.
 TEST_CASE("the adapter answers, skips what is damaged and says so") {
     const std::string folder = HARRIERPASS_TRACES;
-    const std::string command = std::string(HARRIERPASS_SIMLINK) + " 2>&1 < " + folder + "/wire_in.txt";
+    const std::string command =
+        std::string(HARRIERPASS_SIMULATOR_ADAPTER) + " 2>&1 < " + folder + "/wire_in.txt";
     std::string said;
     FILE *pipe = popen(command.c_str(), "r");
     REQUIRE(pipe != nullptr);
@@ -148,64 +149,65 @@
 // Guards a server's good name: a long body on its way there and a long answer on its way back take their
 // client's time. Without either guard the first sweeps after 1.2 s find it silent and probe it.
 TEST_CASE("a long body or answer is no silence") {
-    settings given;
-    given.use_cases.push_back({effect_kind::idempotent, repeat_group::all, 0, 1, 1, 0});
-    given.allow.may_probe = true;
+    router_settings given;
+    given.request_classes.push_back({effect_kind::idempotent, deduplication_scope::all, 0, 1, 1, 0});
+    given.constraints.may_check_health = true;
     const auto probes = [&](const std::function<void(router &)> &then, bool uploading) {
         const auto route = make_router(given, 1, 0);
-        const std::array<list_entry, 3> all = {{{0, "a"}, {1, "b"}, {2, "c"}}};
-        route->listed(0, list_kind::whole, all);
-        new_query made{0, 0, 0, true, false, 5, 100};
-        made.uploading = uploading;
-        route->arrived(0, made);
-        REQUIRE(route->actions.back().kind == action_kind::send);
+        const std::array<endpoint_info, 3> all = {{{0, "a"}, {1, "b"}, {2, "c"}}};
+        route->on_endpoints_updated(0, endpoint_update_kind::snapshot, all);
+        request_info made{0, 0, 0, true, false, 5, 100};
+        made.streams_body = uploading;
+        route->on_request(0, made);
+        REQUIRE(route->actions.back().kind == action_kind::start_attempt);
         then(*route);
         std::size_t sent = 0;
         for (double now = 0.05; now < 6; now += 0.05) {
             route->actions.clear();
-            route->woken(now);
+            route->on_timer(now);
             sent += static_cast<std::size_t>(
                 std::count_if(route->actions.begin(), route->actions.end(),
-                              [](const action &each) { return each.kind == action_kind::probe; }));
+                              [](const action &each) { return each.kind == action_kind::check_health; }));
         }
         return sent;
     };
     const auto nothing = [](router &) {};
-    CHECK(probes(nothing, true) == 0);                                    // a body on its way
-    CHECK(probes([](router &of) { of.begun(0.01, 0); }, false) == 0);     // an answer on its way
-    CHECK(probes(nothing, false) > 0);                                    // silence
-    CHECK(probes([](router &of) { of.written(0.01, 0, 90); }, true) > 0); // likewise, once it is written
+    CHECK(probes(nothing, true) == 0);                                              // a body on its way
+    CHECK(probes([](router &of) { of.on_response_started(0.01, 0); }, false) == 0); // an answer on its way
+    CHECK(probes(nothing, false) > 0);                                              // silence
+    CHECK(probes([](router &of) { of.on_request_body_sent(0.01, 0, 90); }, true) >
+          0); // likewise, once it is written
 }
 
 // Guards the limit on all against a slow way to another zone: half of the servers lie beyond it, and their
 // answers come later and later, up to 1.6 SLO times; those at home have room all the same.
 TEST_CASE("a slow way is no load") {
     const auto sent_at_once = [](index home) {
-        settings given;
-        given.use_cases.push_back({effect_kind::idempotent, repeat_group::all, 0, 1, 1, 0});
-        given.own_zone = home;
+        router_settings given;
+        given.request_classes.push_back({effect_kind::idempotent, deduplication_scope::all, 0, 1, 1, 0});
+        given.local_zone = home;
         const auto route = make_router(given, 1, 0);
         const std::array<std::string, 10> names = {"s0", "s1", "s2", "s3", "s4",
                                                    "s5", "s6", "s7", "s8", "s9"};
-        std::vector<list_entry> entries(names.size());
+        std::vector<endpoint_info> entries(names.size());
         for (index i = 0; i < entries.size(); ++i) {
-            entries[i].server = i;
+            entries[i].endpoint = i;
             entries[i].id = names[i];
             entries[i].zone = i % 2;
         }
-        route->listed(0, list_kind::whole, entries);
+        route->on_endpoints_updated(0, endpoint_update_kind::snapshot, entries);
         for (index turn = 1; turn <= 400; ++turn) {
             route->actions.clear();
-            route->arrived(turn * 2, {0, 0, 0, true, false, turn * 7919ULL, 1e6});
-            const index to = route->actions.at(0).server;
-            route->ended(turn * 2 + (to % 2 == 1 ? std::min(1.6, 0.3 + turn * 0.005) : 0.3), 0, 0,
-                         outcome::completed, true, false);
+            route->on_request(turn * 2, {0, 0, 0, true, false, turn * 7919ULL, 1e6});
+            const index to = route->actions.at(0).endpoint;
+            route->on_attempt_finished(turn * 2 + (to % 2 == 1 ? std::min(1.6, 0.3 + turn * 0.005) : 0.3), 0,
+                                       0, outcome::completed, true, false);
         }
-        route->listed(899, list_kind::changes, {}); // the limits are looked at anew
+        route->on_endpoints_updated(899, endpoint_update_kind::delta, {}); // the limits are looked at anew
         index sent = 0;
         for (index key = 0; key < 30; ++key) {
             route->actions.clear();
-            route->arrived(900, {key, 0, 0, true, false, key * 104729ULL, 1e6});
+            route->on_request(900, {key, 0, 0, true, false, key * 104729ULL, 1e6});
             sent += !route->actions.empty();
         }
         return sent;
@@ -219,20 +221,20 @@
 TEST_CASE("a slow fetch cuts the limit on all less than a slow server") {
     const auto goes_on = [](bool fetched) {
         side one(1);
-        one.list(0, list_kind::whole, 10);
+        one.list(0, endpoint_update_kind::snapshot, 10);
         index sent = 0;
         for (index key = 0; key < 60; ++key) {
             one.route->actions.clear();
-            one.route->arrived(10, {key, 0, 0, true, false, key * 7919ULL, 99});
+            one.route->on_request(10, {key, 0, 0, true, false, key * 7919ULL, 99});
             sent += !one.route->actions.empty();
         }
         REQUIRE(sent == 60);
-        one.route->ended(13, 0, 0, outcome::completed, true, fetched);
+        one.route->on_attempt_finished(13, 0, 0, outcome::completed, true, fetched);
         for (index key = 1; key < 38; ++key) // 22 stay in hand
-            one.route->ended(13, key, 0, outcome::canceled, true, false);
-        one.list(13, list_kind::whole, 10); // the limits are looked at anew
+            one.route->on_attempt_finished(13, key, 0, outcome::canceled, true, false);
+        one.list(13, endpoint_update_kind::snapshot, 10); // the limits are looked at anew
         one.route->actions.clear();
-        one.route->arrived(13, {60, 0, 0, true, false, 3, 99});
+        one.route->on_request(13, {60, 0, 0, true, false, 3, 99});
         return !one.route->actions.empty();
     };
     CHECK(goes_on(true));
