--- a/tests/helpers.hpp
+++ b/tests/support/helpers.hpp
@@ -75,36 +75,38 @@
         std::string name;
         words >> name;
         if (name == "use_case") {
-            use_case use;
+            request_class use;
             std::string effect, group;
-            words >> effect >> group >> use.window >> use.slo_time >> use.importance;
+            words >> effect >> group >> use.deduplication_window >> use.latency_objective >>
+                use.priority_weight;
             use.effect =
                 static_cast<effect_kind>(place({"idempotent", "deduplicated", "non_idempotent"}, effect));
-            use.group = static_cast<repeat_group>(place({"all", "zone", "cell"}, group));
-            settings_.use_cases.push_back(use);
+            use.scope = static_cast<deduplication_scope>(place({"all", "zone", "cell"}, group));
+            settings_.request_classes.push_back(use);
             return;
         }
         double value = 0;
         words >> value;
-        auto &cold = settings_.cold;
-        auto &allow = settings_.allow;
-        const std::map<std::string, double *> numbers = {{"start_capacity", &cold.start_capacity},
-                                                         {"warm_time", &cold.warm_time},
-                                                         {"max_advice", &allow.max_advice},
-                                                         {"excess_importance", &settings_.excess_importance}};
+        auto &cold = settings_.slow_start;
+        auto &allow = settings_.constraints;
+        const std::map<std::string, double *> numbers = {
+            {"start_capacity", &cold.initial_capacity_share},
+            {"warm_time", &cold.warm_up_time},
+            {"max_advice", &allow.max_retry_after},
+            {"excess_importance", &settings_.over_quota_weight_share}};
         const std::map<std::string, bool *> flags = {{"may_cancel", &allow.may_cancel},
-                                                     {"may_probe", &allow.may_probe},
-                                                     {"drain_alone", &allow.drain_binds_alone},
-                                                     {"subscribe", &allow.must_subscribe}};
-        const std::map<std::string, index *> counts = {{"executions", &allow.max_executions},
-                                                       {"peers", &settings_.peers},
+                                                     {"may_probe", &allow.may_check_health},
+                                                     {"drain_alone", &allow.removal_is_advisory},
+                                                     {"subscribe", &allow.watch_required}};
+        const std::map<std::string, index *> counts = {{"executions", &allow.max_attempts},
+                                                       {"peers", &settings_.proxy_count},
                                                        {"origin", &settings_.origin_kind}};
         if (numbers.contains(name))
             *numbers.at(name) = value;
         else if (flags.contains(name))
             *flags.at(name) = value != 0;
         else if (name == "tenant")
-            settings_.tenant_quota.push_back(value);
+            settings_.tenant_quotas.push_back(value);
         else
             *counts.at(name) = static_cast<index>(value);
     }
@@ -125,12 +127,13 @@
         words >> now >> what;
         if (what == "list") {
             words >> word;
-            const auto kind = static_cast<list_kind>(place({"changes", "whole", "cached", "lost"}, word));
-            std::vector<list_entry> entries;
+            const auto kind =
+                static_cast<endpoint_update_kind>(place({"changes", "whole", "cached", "lost"}, word));
+            std::vector<endpoint_info> entries;
             for (std::string item; words >> item;) {
-                list_entry entry;
-                entry.state = item.back() == '!'   ? listing::draining
-                              : item.back() == '-' ? listing::gone
+                endpoint_info entry;
+                entry.state = item.back() == '!'   ? endpoint_state::draining
+                              : item.back() == '-' ? endpoint_state::removed
                                                    : entry.state;
                 const auto field = [&](char mark) {
                     const auto at = item.find(mark);
@@ -139,26 +142,26 @@
                 entry.kind = static_cast<index>(field('/'));
                 entry.zone = static_cast<index>(field('@'));
                 entry.cell = entry.zone;
-                entry.started = field('*');
-                entry.server = server(item.substr(0, item.find_first_of("/@*!-")));
+                entry.started_at = field('*');
+                entry.endpoint = server(item.substr(0, item.find_first_of("/@*!-")));
                 entries.push_back(entry);
             }
             for (auto &entry : entries) // names_ holds still now
-                entry.id = names_[entry.server];
-            router_->listed(now, kind, entries);
+                entry.id = names_[entry.endpoint];
+            router_->on_endpoints_updated(now, kind, entries);
         } else if (what == "query") {
-            new_query made;
-            words >> made.query >> made.use_case;
+            request_info made;
+            words >> made.request >> made.class_id;
             for (std::string item; words >> item;) {
-                made.write = made.write || item == "write";
+                made.is_write = made.is_write || item == "write";
                 if (item.starts_with("key="))
                     made.has_key = true, made.key = std::stoull(item.substr(4));
                 if (item.starts_with("tenant="))
                     made.tenant = static_cast<index>(std::stoul(item.substr(7)));
                 if (item.starts_with("end="))
-                    made.statement_end = std::stod(item.substr(4));
+                    made.deadline = std::stod(item.substr(4));
             }
-            router_->arrived(now, made);
+            router_->on_request(now, made);
         } else if (what == "end") {
             index query = 0, execution = 0;
             std::string over;
@@ -166,29 +169,30 @@
             words >> query >> execution >> word;
             for (std::string item; words >> item;)
                 if (item.starts_with("held="))
-                    told.held = std::stod(item.substr(5));
+                    told.in_flight = std::stod(item.substr(5));
                 else
                     over = item;
             const auto at = place({"completed", "error", "queue_full", "timed_out", "connect_error", "reset",
                                    "canceled", "ignored", "miss"},
                                   word);
-            router_->ended(now, query, execution, static_cast<outcome>(at), over == "over", false, told);
+            router_->on_attempt_finished(now, query, execution, static_cast<outcome>(at), over == "over",
+                                         false, told);
         } else if (what == "adopt") { // one more line of settings, by its words
             set_up(words);
-            router_->adopt(now, settings_);
+            router_->update_settings(now, settings_);
         } else if (what == "left") {
             index query = 0;
             words >> query;
-            router_->left(now, query);
+            router_->on_client_disconnected(now, query);
         } else if (what == "probed") {
             bool answered = false;
             words >> word >> answered;
-            router_->probed(now, server(word), answered);
+            router_->on_health_check_finished(now, server(word), answered);
         } else if (what == "wake") {
             double until = now;
             words >> until;
             for (; now <= until + 1e-9; now += 0.05) {
-                router_->woken(now);
+                router_->on_timer(now);
                 print(now);
             }
         } else {
@@ -200,15 +204,15 @@
         static constexpr std::array<const char *, 8> kinds = {"send",    "cancel", "reject", "abort",
                                                               "release", "probe",  "wake",   "subscribe"};
         for (const auto &act : router_->actions) {
-            if (act.kind == action_kind::wake)
+            if (act.kind == action_kind::set_timer)
                 continue;
             out_ << "    " << kinds[static_cast<std::size_t>(act.kind)];
-            if (act.query != none)
-                out_ << ' ' << act.query;
-            if (act.kind == action_kind::cancel)
-                out_ << '.' << act.execution;
-            if (act.server != none)
-                out_ << " -> " << names_[act.server];
+            if (act.request != none)
+                out_ << ' ' << act.request;
+            if (act.kind == action_kind::cancel_attempt)
+                out_ << '.' << act.attempt;
+            if (act.endpoint != none)
+                out_ << " -> " << names_[act.endpoint];
             if (act.time > 0)
                 out_ << " back in " << act.time;
             if (at >= 0)
@@ -218,7 +222,7 @@
         router_->actions.clear();
     }
 
-    settings settings_;
+    router_settings settings_;
     std::unique_ptr<router> router_;
     std::vector<std::string> names_;
     std::ostringstream out_;
--- a/tests/lab_helpers.hpp
+++ b/tests/support/lab_helpers.hpp
@@ -20,9 +20,10 @@
 
 struct caller {
     caller(loop &with, const std::string &to)
-        : on(std::make_shared<channel>(with, dial_soon(*parse_address(to)), http_reader::side::answer)) {
+        : on(std::make_shared<channel>(with, dial_soon(*parse_address(to)),
+                                       http_reader::message_kind::response)) {
         on->on_message = [this](const auto &, const http_reader &answer) {
-            said = std::to_string(answer.head().status) + " " + std::string(answer.head().value("X-Cache"));
+            said = std::to_string(answer.head().status) + " " + std::string(answer.head().header("X-Cache"));
             ++count;
         };
         on->on_end = [this](const auto &, channel::ending how) {
--- a/tests/process_helpers.hpp
+++ b/tests/support/process_helpers.hpp
@@ -2,7 +2,7 @@
 // Runs of real processes in tests: the run itself, its figures, its folder and its logs.
 #pragma once
 
-#include "helpers.hpp"
+#include "support/helpers.hpp"
 
 #include "lab/runs/socket_run.hpp"
 
--- a/tests/stand.hpp
+++ b/tests/support/stand.hpp
@@ -2,7 +2,7 @@
 // Discovery, two servers and a proxy before them on loopback, for the tests of the proxy.
 #pragma once
 
-#include "helpers.hpp"
+#include "support/helpers.hpp"
 
 #include "base/text.hpp"
 #include "proxy/service.hpp"
@@ -74,9 +74,9 @@
                  use("audit", "at_most_once", 10000) + "]}}";
         if (!given.starts)
             return;
-        proxy = std::make_unique<service>(read_configuration(config), lines, level::debug);
+        proxy = std::make_unique<service>(read_configuration(config), lines, log_level::debug);
         port = ntohs(reinterpret_cast<const sockaddr_in &>(proxy->at().where).sin_port);
-        door = ntohs(reinterpret_cast<const sockaddr_in &>(proxy->door().where).sin_port);
+        door = ntohs(reinterpret_cast<const sockaddr_in &>(proxy->control_address().where).sin_port);
         while (!test_ready())
             std::this_thread::yield();
     }
