--- a/src/lab/faults/system_faults.cpp
+++ b/src/lab/faults/system_faults.cpp
@@ -68,6 +68,9 @@
 std::array<std::atomic<unsigned long>, calls> made_up;
 
 struct report {
+    report() = default;
+    report(const report &) = delete;
+    report &operator=(const report &) = delete;
     ~report() {
         for (std::size_t i = 0; i < calls; ++i)
             std::fprintf(stderr, "counter faults_%s %lu\n", names[i], made_up[i].load());
--- a/src/lab/judge/plot.cpp
+++ b/src/lab/judge/plot.cpp
@@ -6,6 +6,7 @@
 #include <cmath>
 #include <iomanip>
 #include <map>
+#include <ranges>
 #include <sstream>
 
 namespace harrierpass::lab {
@@ -84,13 +85,13 @@
                   << "' stroke-width='1.6'" << (each.dashed ? " stroke-dasharray='4 3'" : "") << "/>\n";
         }
         double x = width - right;
-        for (auto each = curves.rbegin(); each != curves.rend(); ++each) {
-            if (each->name.empty())
+        for (const auto &each : std::views::reverse(curves)) {
+            if (each.name.empty())
                 continue;
-            x -= 8.0 * static_cast<double>(each->name.size()) + 24;
+            x -= 8.0 * static_cast<double>(each.name.size()) + 24;
             body_ << "<rect x='" << x << "' y='" << at_ - 12 << "' width='10' height='3' fill='"
-                  << each->colour << "'/><text x='" << x + 14 << "' y='" << at_ - 8 << "' font-size='11'>"
-                  << escaped(each->name) << "</text>\n";
+                  << each.colour << "'/><text x='" << x + 14 << "' y='" << at_ - 8 << "' font-size='11'>"
+                  << escaped(each.name) << "</text>\n";
         }
         at_ += panel + gap;
     }
--- a/src/lab/links/conditions.cpp
+++ b/src/lab/links/conditions.cpp
@@ -75,7 +75,6 @@
     case link_kind::proxy_server:
         return proxy_in(which.near) && server_in(which.far);
     case link_kind::proxy_list:
-        return proxy_in(which.near);
     case link_kind::proxy_proxy:
         return proxy_in(which.near);
     }
@@ -102,10 +101,12 @@
 
 std::vector<link_id> link_table::all() const {
     std::vector<std::uint64_t> numbers;
+    numbers.reserve(links_.size());
     for (const auto &[each, of] : links_)
         numbers.push_back(each);
     std::sort(numbers.begin(), numbers.end());
     std::vector<link_id> made;
+    made.reserve(numbers.size());
     for (const auto each : numbers)
         made.push_back(links_.at(each).id);
     return made;
--- a/src/lab/links/relay.cpp
+++ b/src/lab/links/relay.cpp
@@ -128,7 +128,10 @@
 void relay::accept(const link_id &which) {
     auto &on = find(which);
     address peer;
-    for (tcp_socket one; on.listening && (one = accept_on(on.listening, peer));) {
+    while (on.listening) {
+        tcp_socket one = accept_on(on.listening, peer);
+        if (!one)
+            break;
         if (table_.now(which).resets) {
             reset_soon(one);
             continue;
--- a/src/lab/links/relay.hpp
+++ b/src/lab/links/relay.hpp
@@ -102,6 +102,8 @@
 public:
     datagram_relay(loop &in, const link_table &table, std::vector<address> proxies, std::uint32_t seed);
     ~datagram_relay();
+    datagram_relay(const datagram_relay &) = delete;
+    datagram_relay &operator=(const datagram_relay &) = delete;
     address as_seen(index by, index other) const;
     address all_as_seen(index by) const; // what goes there goes to every other proxy
 
--- a/src/lab/loop/channel.hpp
+++ b/src/lab/loop/channel.hpp
@@ -19,6 +19,8 @@
     channel(loop &in, tcp_socket socket, http_reader::message_kind reads)
         : loop_(in), socket_(std::move(socket)), side_(reads) {}
     ~channel();
+    channel(const channel &) = delete;
+    channel &operator=(const channel &) = delete;
 
     // Called from the loop; each may end the channel.
     std::function<void(const std::shared_ptr<channel> &, const http_reader &)> on_message;
--- a/src/lab/processes/fleet_ports.hpp
+++ b/src/lab/processes/fleet_ports.hpp
@@ -26,6 +26,8 @@
 public:
     fleet_ports(loop &in, stage &of, const fleet_places &where = {}, const part_options &parts = {});
     ~fleet_ports();
+    fleet_ports(const fleet_ports &) = delete;
+    fleet_ports &operator=(const fleet_ports &) = delete;
     // Where a proxy finds the list and a server, and where clients find a proxy: over its link, if it has
     // one.
     std::string list_at(index proxy) const;
--- a/src/lab/processes/list_port.hpp
+++ b/src/lab/processes/list_port.hpp
@@ -19,6 +19,8 @@
     list_port(loop &in, const experiment &given, member_list &list, list_service &service, witness &sees,
               index proxy, const address &at, const server_places &where);
     ~list_port();
+    list_port(const list_port &) = delete;
+    list_port &operator=(const list_port &) = delete;
     std::string at() const { return to_text(at_); }
     static std::string entry(const experiment &of, const member_list::member &each, bool is_origin,
                              const std::string &host);
--- a/src/lab/processes/part.hpp
+++ b/src/lab/processes/part.hpp
@@ -52,6 +52,8 @@
     // `waits`: a message is with the system when send() returns; else what there is no room for is kept.
     part_link(loop &in, tcp_socket socket, bool waits);
     ~part_link();
+    part_link(const part_link &) = delete;
+    part_link &operator=(const part_link &) = delete;
     void send(const part_message &what);
     void drain(); // reads what has come, to the end if the other side is gone
     bool open() const { return static_cast<bool>(socket_); }
@@ -95,7 +97,7 @@
     bool ready_ = false, ends_ = false;
 };
 
-// What the part's program does, until the run is gone or says so. `setup`: a file that the run wrote.
-int run_part(const std::string &setup);
+// What the part's program does, until the run is gone or says so. `path`: a file that the run wrote.
+int run_part(const std::string &path);
 
 } // namespace harrierpass::lab
--- a/src/lab/processes/plant_proxy.cpp
+++ b/src/lab/processes/plant_proxy.cpp
@@ -62,10 +62,9 @@
 
     bool now(plant which) { return breaks_ == which && ++chances_ % plant_every == 0; }
 
-    link connect(const address &to, std::function<void(const http_reader &)> came,
-                 std::function<void(bool reached)> failed) {
-        const auto made =
-            std::make_shared<channel>(loop_, dial_soon(to), http_reader::message_kind::response);
+    link connect(const address &to, const std::function<void(const http_reader &)> &came,
+                 const std::function<void(bool reached)> &failed) {
+        auto made = std::make_shared<channel>(loop_, dial_soon(to), http_reader::message_kind::response);
         made->tag = next_++;
         open_[made->tag] = made;
         made->on_message = [this, came](const link &on, const http_reader &answer) {
--- a/src/lab/processes/process.cpp
+++ b/src/lab/processes/process.cpp
@@ -22,8 +22,6 @@
 #include <thread>
 #include <unistd.h>
 
-extern char **environ;
-
 namespace harrierpass::lab {
 
 namespace {
@@ -32,6 +30,8 @@
 class spawner {
 public:
     spawner() : thread_([this] { work(); }) {}
+    spawner(const spawner &) = delete;
+    spawner &operator=(const spawner &) = delete;
     ~spawner() {
         {
             const std::lock_guard hold(lock_);
@@ -103,7 +103,7 @@
     return made;
 }
 
-child_process::child_process(loop &in, std::vector<std::string> command, std::string log, bool control)
+child_process::child_process(loop &in, std::vector<std::string> command, const std::string &log, bool control)
     : loop_(in), command_(std::move(command)), log_(log, std::ios::app), controlled_(control) {}
 
 child_process::~child_process() {
@@ -137,6 +137,7 @@
         the_spawner().run([command = command_, files, log = std::make_shared<tcp_socket>(std::move(theirs)),
                            control = std::make_shared<tcp_socket>(std::move(their_control))]() mutable {
             std::vector<char *> arguments;
+            arguments.reserve(command.size() + 1);
             for (auto &each : command)
                 arguments.push_back(each.data());
             arguments.push_back(nullptr);
--- a/src/lab/processes/process.hpp
+++ b/src/lab/processes/process.hpp
@@ -28,7 +28,7 @@
 public:
     // `command`: program and arguments. What it writes to standard error goes to `log`. `control`: it gets
     // one end of a pair of sockets as descriptor 3, and take_control() gives the other one.
-    child_process(loop &in, std::vector<std::string> command, std::string log, bool control = false);
+    child_process(loop &in, std::vector<std::string> command, const std::string &log, bool control = false);
     ~child_process(); // ends it
     child_process(const child_process &) = delete;
     child_process &operator=(const child_process &) = delete;
--- a/src/lab/processes/server_port.hpp
+++ b/src/lab/processes/server_port.hpp
@@ -16,6 +16,8 @@
     // `number` is the fleet's size for the origin.
     server_port(loop &in, fleet &of, index number, const address &at);
     ~server_port();
+    server_port(const server_port &) = delete;
+    server_port &operator=(const server_port &) = delete;
     std::string at() const { return to_text(at_); }
     void follow();                                                // the model's state has changed
     std::function<void(index server, bool begins)> on_connection; // one came, or is over
--- a/src/lab/runs/deciders.cpp
+++ b/src/lab/runs/deciders.cpp
@@ -19,8 +19,8 @@
 
 class baseline final : public router {
 public:
-    baseline(decider by, const router_settings &given, std::uint32_t seed, double now)
-        : by_(by), given_(given), chance_(seed), ask_at_(now) {
+    baseline(decider by, router_settings given, std::uint32_t seed, double now)
+        : by_(by), given_(std::move(given)), chance_(seed), ask_at_(now) {
         wake(now);
     }
 
--- a/src/lab/runs/socket_run.cpp
+++ b/src/lab/runs/socket_run.cpp
@@ -50,7 +50,7 @@
 // Where logs and configurations are; a temporary folder goes with the run.
 class run_folder {
 public:
-    explicit run_folder(const std::string &given) : path_(given) {
+    explicit run_folder(std::string given) : path_(std::move(given)) {
         if (path_.empty()) {
             std::string name = (std::filesystem::temp_directory_path() / "harrierlab-XXXXXX").string();
             if (::mkdtemp(name.data()) == nullptr)
--- a/src/lab/runs/stage.cpp
+++ b/src/lab/runs/stage.cpp
@@ -18,7 +18,7 @@
 } // namespace
 
 stage::stage(timeline &with, const experiment &of, std::uint32_t seed, double slack,
-             std::function<double()> exact)
+             const std::function<double()> &exact)
     : clock(with), given(of), judged_(with.now()), judge(exact ? judged_ : with, of, slack),
       events(judged_, judge), own_events(events.add_source()),
       writes_(exact, [this](const seen &what) { events.put(own_events, what); }),
--- a/src/lab/runs/stage.hpp
+++ b/src/lab/runs/stage.hpp
@@ -25,8 +25,8 @@
 public:
     // `slack`: s by which clocks on the link may differ. `exact`, the machine's time at the moment: parts of
     // the world are other processes, and all that is seen is judged by `events`.
-    stage(timeline &clock, const experiment &given, std::uint32_t seed, double slack,
-          std::function<double()> exact = {});
+    stage(timeline &with, const experiment &of, std::uint32_t seed, double slack,
+          const std::function<double()> &exact = {});
 
     void start(); // load and faults, from now on
     void start_faults();
--- a/src/lab/runs/virtual_proxy.cpp
+++ b/src/lab/runs/virtual_proxy.cpp
@@ -77,7 +77,7 @@
     wait_end(std::move(gone), clock_.now() + end_time);
 }
 
-void virtual_proxy::wait_end(std::function<void()> gone, double limit) {
+void virtual_proxy::wait_end(const std::function<void()> &gone, double limit) {
     const bool holds = std::any_of(held_.begin(), held_.end(), [](const held &each) {
         return each.live && !each.answered && !each.gone;
     });
@@ -168,8 +168,8 @@
 void virtual_proxy::kill(bool planned) {
     ++life_;
     judge_.restarted(number_, !planned);
-    for (index i = 0; i < held_.size(); ++i)
-        if (auto &of = held_[i]; of.live) {
+    for (auto &of : held_)
+        if (of.live) {
             end_out(of);
             if (!of.answered && !of.gone)
                 on_answer(of.is, reply::cut, 0, false);
@@ -388,7 +388,7 @@
 }
 
 void virtual_proxy::reach(index query, index server, index number, std::uint64_t serial, double sent,
-                          bool extra) {
+                          bool planted) {
     const auto &is = held_[query].is;
     job what{is.op, is.attempt, is.use_case, is.write, is.keyed, is.key, held_[query].missed_at};
     const double there = way(server);
@@ -430,9 +430,9 @@
     const bool is_server = server < servers_.size();
     const bool dead = is_server && (servers_.at(server).silent() || !servers_.at(server).up());
     double handshake = 0;
-    if (dead && !extra)
+    if (dead && !planted)
         figures_.sent_to_dead(false);
-    if (!extra && !take_connection(server, held_[query].cut)) {
+    if (!planted && !take_connection(server, held_[query].cut)) {
         figures_.dialled(server, !dead);
         if (links_.now(on).resets) // up, and broken at once
             return failed(2 * there);
@@ -449,12 +449,12 @@
     } else if (dead && !servers_.at(server).silent()) {
         return failed(2 * there); // its connections went with it
     }
-    held_[query].connected = held_[query].connected || !extra;
-    if (!extra && held_[query].cut)
+    held_[query].connected = held_[query].connected || !planted;
+    if (!planted && held_[query].cut)
         return; // nobody hears it
     links_.carry(
         on, direction::there, there + handshake, static_cast<std::size_t>(answer_bytes),
-        [this, server, what, sent, extra, answered, back, heard, waits, there] {
+        [this, server, what, sent, planted, answered, back, heard, waits, there] {
             const bool at_origin = server == servers_.size();
             if (!at_origin && (servers_.at(server).silent() || !servers_.at(server).up())) {
                 if (!servers_.at(server).up())
@@ -462,7 +462,7 @@
                 return;
             }
             judge_.received(what.op, what.attempt, server, sent);
-            if (!extra && !waits())
+            if (!planted && !waits())
                 judge_.over(what.op, what.attempt, server); // given up while it was on its way
             if (at_origin)
                 servers_.receive_at_origin(what, answered);
--- a/src/lab/runs/virtual_proxy.hpp
+++ b/src/lab/runs/virtual_proxy.hpp
@@ -68,7 +68,7 @@
     bool take_connection(index server, bool &cut);
     void close_connections(index server);
     void sweep();
-    void wait_end(std::function<void()> gone, double limit);
+    void wait_end(const std::function<void()> &gone, double limit);
     void know();      // the list that it starts with
     void plan_call(); // where one list service serves all
     discovery::snapshot_facts facts_of(const list_answer &with) const;
@@ -108,7 +108,7 @@
     std::uint64_t list_call_ = 0, list_token_ = 0, revision_ = 0;
     bool list_out_ = false;
     std::optional<discovery::poll_schedule> calls_; // where one list service serves all
-    std::vector<endpoint_state> listed_;                   // by server, as last told; there alone
+    std::vector<endpoint_state> listed_;            // by server, as last told; there alone
     std::unique_ptr<router> router_;
     std::uint64_t life_ = 0, serial_ = 0;
     std::vector<held> held_;
--- a/src/lab/world/histogram.hpp
+++ b/src/lab/world/histogram.hpp
@@ -20,7 +20,7 @@
 private:
     static constexpr int parts = 64;  // buckets for each power of two
     static constexpr int powers = 32; // from 1 us: 2^32 us are 71 minutes
-    std::array<std::uint64_t, parts * powers> buckets_{};
+    std::array<std::uint64_t, std::size_t{parts} * powers> buckets_{};
     std::uint64_t count_ = 0;
     double sum_ = 0, most_ = 0;
 };
--- a/src/lab/world/list_service.cpp
+++ b/src/lab/world/list_service.cpp
@@ -17,7 +17,7 @@
     return {false, false, 0, list_.revision(), list_.since(since)};
 }
 
-std::uint64_t list_service::call(std::optional<std::uint64_t> since, double wait, done_to done) {
+std::uint64_t list_service::call(std::optional<std::uint64_t> since, double wait, const done_to &done) {
     const std::uint64_t number = next_++;
     if (!list_.answers() || !up_)
         return number;
--- a/src/lab/world/list_service.hpp
+++ b/src/lab/world/list_service.hpp
@@ -26,7 +26,7 @@
     // A call for the whole list, or a watch from a revision on that waits for so many seconds. `done` is
     // called once, or never: the service is silent, or the call was dropped.
     using done_to = std::function<void(const list_answer &)>;
-    std::uint64_t call(std::optional<std::uint64_t> since, double wait, done_to done);
+    std::uint64_t call(std::optional<std::uint64_t> since, double wait, const done_to &done);
     void drop(std::uint64_t call); // its connection ended
     void changed();                // the list: open watches are answered
     void die();                    // all calls are gone with the process, and nobody is there
--- a/src/lab/world/servers.cpp
+++ b/src/lab/world/servers.cpp
@@ -73,7 +73,7 @@
 origin::origin(timeline &clock, const experiment &given, std::uint32_t seed)
     : given_(given.origin), chance_(seed), cores_(clock, given.origin.workers, given.origin.queue) {}
 
-void origin::fetch(std::function<void(bool)> done) {
+void origin::fetch(const std::function<void(bool)> &done) {
     ++fetches_;
     const auto work = [this] { return factor_ * chance_.lognormal(given_.work, given_.spread); };
     if (!cores_.take(work, [done] { done(true); }))
@@ -107,7 +107,7 @@
     return std::min(1.0, cold.initial_capacity_share + (1 - cold.initial_capacity_share) * gone);
 }
 
-void cache_server::receive(const job &what, answer_to done) {
+void cache_server::receive(const job &what, const answer_to &done) {
     if (!up())
         return;
     const auto &use = of_.given.use_cases[what.use_case];
@@ -346,7 +346,7 @@
         servers_[i].crash(true); // not there before it joins
 }
 
-void fleet::receive_at_origin(const job &what, answer_to done) {
+void fleet::receive_at_origin(const job &what, const answer_to &done) {
     if (what.write && seen_before(what, size()))
         return done({result::kind::completed, note::none});
     origin_.fetch([this, what, done](bool there) {
--- a/src/lab/world/servers.hpp
+++ b/src/lab/world/servers.hpp
@@ -67,7 +67,7 @@
 public:
     origin(timeline &clock, const experiment &given, std::uint32_t seed);
     // False in `done`: it had no room.
-    void fetch(std::function<void(bool)> done);
+    void fetch(const std::function<void(bool)> &done);
     void slow(double factor, bool begins);
     void stop(bool begins);
     std::uint64_t fetches() const { return fetches_; }
@@ -89,7 +89,7 @@
     cache_server(fleet &of, index number, std::uint32_t seed);
 
     // The last byte of an execution has come. `done` is called once, or never.
-    void receive(const job &what, answer_to done);
+    void receive(const job &what, const answer_to &done);
 
     // Faults; each may begin while others hold.
     void crash(bool begins); // its end starts a new process: cold, and with nothing in its store
@@ -161,7 +161,7 @@
 // All servers, what they share, and what deduplication remembers.
 class fleet {
 public:
-    fleet(timeline &clock, const experiment &given, witness &judge, std::uint32_t seed);
+    fleet(timeline &with, const experiment &of, witness &by, std::uint32_t seed);
 
     cache_server &at(index number) { return servers_[number]; }
     index size() const { return static_cast<index>(servers_.size()); }
@@ -178,7 +178,7 @@
     std::function<void(std::uint64_t key)> on_wrote; // for copies that other processes hold
 
     // At the origin itself, in aside mode.
-    void receive_at_origin(const job &what, answer_to done);
+    void receive_at_origin(const job &what, const answer_to &done);
 
     timeline &clock;
     const experiment &given;
--- a/src/lab/world/spec.cpp
+++ b/src/lab/world/spec.cpp
@@ -261,7 +261,7 @@
     use_case_spec use;
     from.text("name", use.name);
     if (use.name.empty() ||
-        use.name.find_first_not_of("abcdefghijklmnopqrstuvwxyz_-0123456789") != use.name.npos)
+        use.name.find_first_not_of("abcdefghijklmnopqrstuvwxyz_-0123456789") != std::string::npos)
         from.refuse(nullptr, "a use_case needs a name of small letters, digits, - and _");
     from.one_of("effect", effect_names, use.decides.effect);
     from.one_of("group", deduplication_scope_names, use.decides.scope);
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -191,7 +191,7 @@
 }
 
 void tenant_store::commit(const tenants::tenant_set &before, const tenants::tenant_set &after,
-                          std::vector<audit_entry> log, const std::string &idempotency_key,
+                          const std::vector<audit_entry> &log, const std::string &idempotency_key,
                           const kept_answer &answer) {
     if (!at_start_.damage.empty())
         throw store_failure("no change can be kept: " + at_start_.damage);
--- a/src/store/store.hpp
+++ b/src/store/store.hpp
@@ -51,7 +51,7 @@
     // The next version: `log` names each tenant that it changes (number and version are given here). Throws
     // store_failure, as on a full disk, and then nothing has changed.
     void commit(const tenants::tenant_set &before, const tenants::tenant_set &after,
-                std::vector<audit_entry> log, const std::string &idempotency_key = {},
+                const std::vector<audit_entry> &log, const std::string &idempotency_key = {},
                 const kept_answer &answer = {});
 
     std::optional<kept_answer> answered(const std::string &idempotency_key);
--- a/src/tenants/limits.cpp
+++ b/src/tenants/limits.cpp
@@ -48,8 +48,9 @@
     for (auto &[incarnation, of] : accounts_)
         of.listed = false;
     for (const auto &[name, one] : set.all()) {
-        const auto [at, fresh] = accounts_.try_emplace(one->incarnation);
-        account &of = at->second;
+        const auto added = accounts_.try_emplace(one->incarnation);
+        const bool fresh = added.second;
+        account &of = added.first->second;
         of.listed = true;
         of.is = one->is;
         if (of.used.in_flight > 0)
--- a/src/tenants/text.cpp
+++ b/src/tenants/text.cpp
@@ -60,7 +60,9 @@
                 const std::vector<std::pair<const char *, member>> &members) {
         if (!from.is_object())
             return blame(at, "is no object");
-        for (const auto &[name, value] : from.items()) {
+        for (const auto &item : from.items()) {
+            const std::string &name = item.key();
+            const json &value = item.value();
             const auto found = std::find_if(members.begin(), members.end(),
                                             [&](const auto &each) { return name == each.first; });
             if (found == members.end())
