--- a/src/router/router.hpp
+++ b/src/router/router.hpp
@@ -1,5 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
-// The interface of the decision module; the head of router.cpp tells how to call it.
+// The routing interface. A caller creates one router per proxy with make_router(), reports every event with
+// its own clock in seconds, and after each call carries out `actions` in order and empties them. The router
+// does no I/O and has no clock.
+//
+// Contract of the caller:
+//  - A request index is free again after release_request. An endpoint index is free for another id once the
+//    endpoint was reported as removed and no request in progress was sent there.
+//  - Only requests that are not released and endpoints that were listed are named in events.
+//  - Attempts of a request are numbered from 0 in the order of their start_attempt actions.
+//  - After set_timer, on_timer() is called at the time it names.
 #pragma once
 
 #include "router/types.hpp"
@@ -10,45 +19,54 @@
 
 namespace harrierpass {
 
+/// Decides where requests go. Implementations are deterministic: equal seeds, settings and events give equal
+/// actions.
 class router {
 public:
     virtual ~router() = default;
+    /// The endpoint list changed, or a poll of it failed.
     virtual void on_endpoints_updated(double now, endpoint_update_kind kind,
                                       std::span<const endpoint_info> entries) = 0;
+    /// A request arrived.
     virtual void on_request(double now, const request_info &from) = 0;
-    // `over`: the query has its final answer, by this outcome or before it. `fetched`: the server had to ask
-    // the origin first.
+    /// An attempt ended. `over`: the request has its final response, from this attempt or an earlier one.
+    /// `fetched`: the endpoint had to fetch the response from the origin.
     virtual void on_attempt_finished(double now, index qry, index execution, outcome result, bool over,
                                      bool fetched, const load_report &told = {}) = 0;
-    // Its answer has started and is the client's now; how fast it goes on is no matter of its server's.
+    /// The response has started and is being relayed to the client, whose pace says nothing of the endpoint.
     virtual void on_response_started(double now, index qry, bool fetched = false) = 0;
-    // A query that arrived as `uploading` is written whole: it begins now, and so does its client's time.
+    /// The body of a request with `streams_body` was sent completely: its attempt and its deadline start now.
     virtual void on_request_body_sent(double, index, double /*statement_end*/) {}
-    virtual void on_client_disconnected(double now, index qry) = 0; // the client went; nothing more is owed
-    // Of a query whose latest execution is not written yet: until when (s) it may be, to its last byte; 0:
-    // not any more. A front that dials asks at the write, as the decision is old by then.
+    /// The client disconnected; it needs no response any more.
+    virtual void on_client_disconnected(double now, index qry) = 0;
+    /// Time (s) until which the latest attempt, not written yet, may be written to its last byte; 0: not any
+    /// more. A caller that has to connect first asks before it writes, as the decision may be outdated.
     virtual double attempt_write_deadline(index) const { return std::numeric_limits<double>::infinity(); }
+    /// A health check finished; `answered`: the endpoint responded.
     virtual void on_health_check_finished(double now, index server, bool answered,
                                           const load_report &told = {}) = 0;
+    /// A timer fired.
     virtual void on_timer(double now) = 0;
-    // Other settings hold from now on, also for the queries in hand, which keep their use case and end. The
-    // whole list, read by them, follows in the next call. What only compares itself with the router need not
-    // follow.
+    /// New settings hold from now on. Requests in progress keep their class and their deadline. The next call
+    /// has to be on_endpoints_updated() with a snapshot in terms of the new settings. Routers that serve only
+    /// as a baseline for comparison may ignore it.
     virtual void update_settings(double, const router_settings &) {}
 
-    virtual bool avoids_endpoint(index) const {
-        return false;
-    } // takes no queries to this server, on suspicion
-
-    virtual bool is_ejected(index) const { return false; } // suspicion alone, whether it is trusted or not
+    /// The endpoint gets no requests because it is ejected.
+    virtual bool avoids_endpoint(index) const { return false; }
+    /// The endpoint is ejected, whether or not mass ejection overrides that.
+    virtual bool is_ejected(index) const { return false; }
+    /// The subset of endpoints in use.
     virtual subset_view subset() const { return {}; }
 
-    std::vector<action> actions; // what the last calls decided, in order; the caller empties it
+    /// Decisions of the calls since it was last emptied, in order; the caller empties it.
+    std::vector<action> actions;
 };
 
+/// Creates the router of one proxy. `seed` determines all its random draws.
 std::unique_ptr<router> make_router(const router_settings &given, std::uint32_t seed, double now);
 
-// Position on the ring of a point or a key, given as text.
+/// Position on the hash ring of a virtual node or a key, given as text (XXH64 with seed 0).
 std::uint64_t ring_hash(std::string_view text);
 
 } // namespace harrierpass
--- a/src/router/types.hpp
+++ b/src/router/types.hpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// Plain types shared by the router and its fronts. Times are seconds, ids are small indices.
+// Plain types shared by the router and its callers. Times and durations are seconds of the caller's clock.
+// Names are represented by small dense indices that the caller assigns.
 #pragma once
 
 #include <cstdint>
@@ -9,85 +10,102 @@
 
 namespace harrierpass {
 
+/// Dense index of any kind; the aliases below say which kind is meant.
 using index = std::uint32_t;
+using request_index = std::uint32_t;  ///< A request in the request table; reused after release_request.
+using endpoint_index = std::uint32_t; ///< An endpoint; reused once it is removed and no request refers to it.
+using class_index = std::uint32_t;    ///< Position in router_settings::request_classes.
+using tenant_index = std::uint32_t;   ///< Position in router_settings::tenant_quotas.
+using zone_index = std::uint32_t;     ///< An availability zone.
+using attempt_number = std::uint32_t; ///< Attempts of one request, numbered from 0 in order of their start.
+
+/// "No index": the value is absent or unknown.
 inline constexpr index none = std::numeric_limits<index>::max();
 
-// Of the time for which a server keeps an idle connection, that a proxy keeps it; the rest is room for the
-// server's clock and the way.
+/// Share of the upstream's idle timeout for which a proxy reuses an idle connection. The rest covers clock
+/// differences and network latency.
 inline constexpr double idle_reuse_share = 0.7;
 
+/// What a second execution of a request does to the system behind the endpoints.
 enum class effect_kind : std::uint8_t { idempotent, deduplicated, non_idempotent };
+/// Which endpoints recognize a retry of a deduplicated request: all, those of one zone, or those of one cell.
 enum class deduplication_scope : std::uint8_t { all, zone, cell };
 
+/// Settings shared by all requests of one class.
 struct request_class {
     effect_kind effect = effect_kind::non_idempotent;
-    deduplication_scope scope =
-        deduplication_scope::cell;   // which servers drop repeats of a deduplicated query
-    double deduplication_window = 0; // how long they remember it, s
-    double latency_objective = 1;
-    double priority_weight = 1;
-    double late_value_share = 0; // share of the importance left after the SLO time
+    deduplication_scope scope = deduplication_scope::cell; ///< Endpoints that recognize a retry.
+    double deduplication_window = 0;                       ///< Time for which they recognize it, s.
+    double latency_objective = 1;                          ///< Target response time, s.
+    double priority_weight = 1;                            ///< Relative value of a response in time.
+    double late_value_share = 0; ///< Share of the value that is left after the latency objective.
 };
 
-// What a deployment allows and asks of its proxies.
+/// What a deployment allows its proxies to do and requires of them.
 struct deployment_constraints {
-    bool may_cancel = false;
-    bool may_check_health = false;
-    bool watch_required = false;      // the list tells changes only to those who asked
-    double max_poll_interval = 3600;  // s without asking after which the list counts as told
-    bool removal_is_advisory = false; // one that the list drops without having told of a drain may be sent to
-    bool weights_are_dynamic = false;
-    index max_attempts = 1;
-    double max_retry_after = 0; // s, the longest wait that a rejection may advise; 0: none
+    bool may_cancel = false;          ///< Attempts in progress may be canceled.
+    bool may_check_health = false;    ///< Health checks may be sent to endpoints.
+    bool watch_required = false;      ///< The discovery service only notifies proxies that subscribed.
+    double max_poll_interval = 3600;  ///< Longest allowed time between two polls of the endpoint list, s.
+    bool removal_is_advisory = false; ///< An endpoint removed without a drain may still receive requests.
+    bool weights_are_dynamic = false; ///< Endpoint weights change with load, so the ring ignores them.
+    index max_attempts = 1;           ///< Attempts allowed for one request, the first included.
+    double max_retry_after = 0;       ///< Longest wait that a rejection may advise, s; 0: no advice.
 };
 
+/// How endpoints warm up after a start of their process.
 struct slow_start_settings {
-    double initial_capacity_share = 1; // share of its capacity that a started server has at least
-    double warm_up_time = 0;           // s until it is warm at the latest
+    double initial_capacity_share = 1; ///< Share of its capacity that a new endpoint has.
+    double warm_up_time = 0;           ///< Time until it has full capacity, s; 0: at once.
 };
 
+/// Everything that configures one router.
 struct router_settings {
     deployment_constraints constraints;
     slow_start_settings slow_start;
     std::vector<request_class> request_classes;
-    std::vector<double> tenant_quotas; // queries a second inside each tenant's share, over all proxies
-    double over_quota_weight_share =
-        1;                            // what a query beyond the share is worth, as a share of its importance
-    index local_zone = none;          // where this proxy is
-    double cross_zone_cost = 0;       // of an execution that crosses zones, as a share of a query's worth
-    double origin_fetch_cost = 0;     // of a fetch from the origin, likewise
-    index proxy_count = 1;            // proxies in all, this one included
-    index proxy_index = none;         // this one's number among them, from 0; none: not told
-    double handshake_cost = 0;        // of a new connection to a server, as a share of a query's worth
-    double upstream_idle_timeout = 0; // s that a server keeps an idle connection; 0: not told
-    index origin_kind = none;         // aside mode: the kind of the list's origin entry
-    double event_batch_interval = 0.005; // shortest time between two batches of events
+    std::vector<double> tenant_quotas;   ///< Requests per second of each tenant, over all proxies.
+    double over_quota_weight_share = 1;  ///< Factor on the priority weight of a request over quota.
+    index local_zone = none;             ///< Zone of this proxy.
+    double cross_zone_cost = 0;          ///< Cost of a cross-zone attempt, as a share of a request's value.
+    double origin_fetch_cost = 0;        ///< Cost of an origin fetch, as a share of a request's value.
+    index proxy_count = 1;               ///< Number of proxies, this one included.
+    index proxy_index = none;            ///< Number of this proxy, from 0; none: unknown.
+    double handshake_cost = 0;           ///< Cost of a new connection, as a share of a request's value.
+    double upstream_idle_timeout = 0;    ///< Time for which endpoints keep idle connections, s; 0: unknown.
+    index origin_kind = none;            ///< Cache-aside mode: the kind of the origin's endpoint entry.
+    double event_batch_interval = 0.005; ///< Shortest time between two batches of events, s.
 };
 
-// Which part of the servers a proxy uses now, where it prefers some (subsets/chooser.hpp).
+/// The part of the endpoints that a proxy prefers (subsets/subset_router.hpp).
 struct subset_view {
-    index ready_endpoints = 0, selected_endpoints = 0; // servers that are ready; of them those in use
-    index level = 0;                                   // one of 2^level parts is preferred
-    std::uint64_t endpoints_added = 0, endpoints_removed = 0, widened_for_availability = 0,
-                  widened_for_capacity = 0; // servers; times, for want of servers, of room
+    index ready_endpoints = 0, selected_endpoints = 0; ///< Endpoints that are ready; those of them in use.
+    index level = 0;                                   ///< One of 2^level parts is preferred.
+    std::uint64_t endpoints_added = 0, endpoints_removed = 0; ///< Endpoints that entered and left the part.
+    /// Times that the part grew for lack of usable endpoints, and for lack of capacity.
+    std::uint64_t widened_for_availability = 0, widened_for_capacity = 0;
 };
 
+/// State of an entry of the endpoint list.
 enum class endpoint_state : std::uint8_t { ready, draining, removed };
+/// What an update of the endpoint list contains.
 enum class endpoint_update_kind : std::uint8_t {
-    delta,
-    snapshot,
-    cached_snapshot, // whole, from before the start
-    poll_failed,     // the call for it; the entries are empty
-    local // changes by this proxy's own choice or its operators', which say nothing of the list service
+    delta,           ///< Changed entries only.
+    snapshot,        ///< The complete list.
+    cached_snapshot, ///< A complete list saved before the start of this process.
+    poll_failed,     ///< The poll failed; there are no entries.
+    local            ///< Changes made by this proxy or its operators, not by the discovery service.
 };
+/// The update replaces the whole list.
 inline bool is_snapshot(endpoint_update_kind kind) {
     return kind == endpoint_update_kind::snapshot || kind == endpoint_update_kind::cached_snapshot;
 }
 
+/// One entry of the endpoint list.
 struct endpoint_info {
-    index endpoint = none; // small index that the front gave to the id
-    std::string_view id;   // needed for its ring points
-    double started_at = 0; // when its process started; 0: long ago
+    index endpoint = none; ///< Index that the caller assigned to the id.
+    std::string_view id;   ///< Identifies the endpoint to all proxies; its ring points follow from it.
+    double started_at = 0; ///< Start of its process; 0: unknown or long ago.
     index kind = none;
     index zone = none;
     index cell = none;
@@ -95,17 +113,20 @@
     endpoint_state state = endpoint_state::ready;
 };
 
+/// A request as it arrives.
 struct request_info {
-    index request = none; // small index chosen by the front; free again after its `release`
+    index request = none; ///< Chosen by the caller; free again after release_request.
     index class_id = 0;
     index tenant = 0;
     bool has_key = false;
     bool is_write = false;
     std::uint64_t key = 0;
-    double deadline = 0;       // when the client gives up
-    bool streams_body = false; // its long body goes to the server while it comes; written() tells its end
+    double deadline = 0; ///< Time at which the client gives up, s.
+    bool streams_body =
+        false; ///< The body is forwarded while it arrives; on_request_body_sent() reports its end.
 };
 
+/// How an attempt ended.
 enum class outcome : std::uint8_t {
     completed,
     error,
@@ -118,23 +139,24 @@
     cache_miss
 };
 
-// Such an execution is known not to have run.
+/// The endpoint is known not to have executed the request.
 inline bool known_not_executed(outcome result) {
     return result == outcome::connect_error || result == outcome::overloaded ||
            result == outcome::discarded_unread || result == outcome::cache_miss;
 }
 
-// What a server said of its own load, with an answer or a probe's; negative: not told.
+/// Load that an endpoint reported with a response or a health check.
 struct load_report {
-    double in_flight = -1; // queries in hand
+    double in_flight = -1; ///< Requests it works on; negative: not reported.
 };
 
-// The server itself spoke, so it is alive.
+/// The endpoint itself responded, so its process is alive.
 inline bool is_answer(outcome result) {
     return result == outcome::completed || result == outcome::error || result == outcome::overloaded ||
            result == outcome::cache_miss;
 }
 
+/// What the caller has to do.
 enum class action_kind : std::uint8_t {
     start_attempt,
     cancel_attempt,
@@ -146,12 +168,13 @@
     watch_endpoints
 };
 
+/// One decision of the router; fields that its kind does not use keep their defaults.
 struct action {
     action_kind kind;
     index request = none;
     index endpoint = none;
     index attempt = 0;
-    double time = 0; // wake: when; reject: advised wait
+    double time = 0; ///< set_timer: when it fires, s; reject_request: advised wait, s.
 };
 
 } // namespace harrierpass
