--- /dev/null
+++ b/src/router/random_source.hpp
@@ -0,0 +1,34 @@
+// SPDX-License-Identifier: Apache-2.0
+// The random draws of one router. The number and the order of the draws are part of its decisions: equal
+// seeds and events give equal actions.
+#pragma once
+
+#include <cstdint>
+#include <random>
+
+namespace harrierpass {
+
+/// A seeded generator (Park and Miller's minimal standard), owned by the router.
+class random_source {
+public:
+    explicit random_source(std::uint32_t seed) : engine_(seed) {}
+
+    /// Uniform in [0, 1).
+    double fraction() {
+        constexpr auto values = static_cast<double>(std::minstd_rand::max());
+        return (static_cast<double>(engine_()) - 1) / values;
+    }
+
+    /// A key for a request that has none.
+    std::uint64_t key() {
+        constexpr int low_bits = 31;
+        const std::uint64_t high = engine_();
+        const std::uint64_t low = engine_();
+        return (high << low_bits) + low;
+    }
+
+private:
+    std::minstd_rand engine_;
+};
+
+} // namespace harrierpass
--- a/src/router/records.hpp
+++ b/src/router/records.hpp
@@ -2,12 +2,13 @@
 // What the router remembers of queries and servers: plain records, private to router.cpp.
 #pragma once
 
+#include "router/hash_ring.hpp"
+#include "router/quota.hpp"
+#include "router/random_source.hpp"
 #include "router/types.hpp"
 
-#include <deque>
 #include <functional>
 #include <queue>
-#include <random>
 #include <string>
 #include <unordered_map>
 #include <utility>
@@ -74,8 +75,7 @@
     bool attempt_broke = false,
          health_check_failed = false;   // an execution broke; and then a trial of the suspect failed
     bool removed_without_drain = false; // by the list, which had not told of a drain; it may still be there
-    index ring_points = 0, placed_ring_points = 0,
-          active_ring_points = 0; // points of its own; those on the ring; those in use now
+    index ring_points = 0, active_ring_points = 0; // points of its own; those in use now
     index in_flight = 0;
     concurrency_limit limit;
     double failure_rate = 0; // mean share of broken executions
@@ -90,18 +90,6 @@
     double ejected_at = 0, next_health_check_at = 0, health_check_backoff = 0;
 };
 
-struct ring_point {
-    std::uint64_t position;
-    index endpoint, order;
-    bool operator<(const ring_point &that) const {
-        return position != that.position ? position < that.position : endpoint < that.endpoint;
-    }
-};
-
-struct quota_bucket {
-    double rate, tokens, at;
-};
-
 struct request_timer {
     double at;
     index request, generation;
@@ -113,7 +101,7 @@
     router_state(std::uint32_t seed, double now) : now_(now), random_(seed) {}
 
     double now_;
-    std::minstd_rand random_;
+    random_source random_;
     std::vector<request_class> request_classes_;
     deployment_constraints constraints_;
     slow_start_settings slow_start_;
@@ -125,19 +113,15 @@
     double cross_zone_cost_ = 0;  // of an answer's worth
     index origin_ = none;
 
-    std::vector<quota_bucket> quotas_;
+    tenant_quotas quotas_;
     std::vector<request_record> requests_;
-    std::deque<std::uint64_t> recent_keys_; // keys of the latest queries ...
-    std::unordered_map<std::uint64_t, index>
-        recent_key_counts_;                            // ... and how often each is among them; never iterated
-    double hot_key_replica_draw_ = 0;                  // of 1; which of a hot key's places this proxy uses
     std::vector<index> queue_;                         // by importance, then age
     std::unordered_map<std::uint64_t, index> fetches_; // key to the query that fetches it; never iterated
     std::priority_queue<request_timer, std::vector<request_timer>, std::greater<>> timers_;
     double retry_budget_ = 0; // further executions that may follow ones that may have run
 
     std::vector<endpoint_record> endpoints_;
-    std::vector<ring_point> ring_;
+    hash_ring ring_;
     std::vector<index> ring_endpoints_;
     index usable_endpoints_ = 0, total_in_flight_ = 0; // servers to choose from; executions at all of them
     concurrency_limit total_limit_;                    // on executions at all of them
@@ -150,8 +134,6 @@
     double shortest_latency_objective_ = 0;            // SLO time, s
     double last_sweep_at_ = 0;                         // when the last sweep was, s
     bool mass_ejection_ = false; // so many are suspect that suspicion is not to be trusted
-
-    double next_poll_at_ = 0, poll_backoff_ = 0; // when the list is asked for next; s between calls
 };
 
 } // namespace harrierpass
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -6,29 +6,26 @@
 // query in hand was sent there. A `wake` asks for woken() at that time. Only queries not released and servers
 // listed before are named. Executions of a query are numbered 0, 1, 2 ... in the order of their `send`.
 #include "router/router.hpp"
+#include "router/endpoint_refresh.hpp"
+#include "router/hot_keys.hpp"
 #include "router/records.hpp"
 
 #include <algorithm>
 #include <array>
 #include <cmath>
-#include <xxhash.h>
 
 namespace harrierpass {
 namespace {
 
 // Every constant, with its unit and the reason for its size.
-constexpr double points_per_weight = 160;  // points; the design's start value, 8% imbalance
-constexpr double most_points = 2560;       // points; bounds the ring's memory when weights are large
 constexpr std::size_t candidate_count = 3; // servers; the design's
-constexpr std::size_t zone_walk = 64;   // points walked for a candidate in the own zone; a zone may be small
-constexpr std::size_t recent_keys = 64; // queries; a few seconds of one proxy's, and 2% of them show
-constexpr double dear_crossing = 0.05;  // of an answer's worth; above it a key is worth a copy in each zone
-constexpr double hot_factor = 2;        // servers for each server's fair share of queries that a key draws
-constexpr double spill_factor = 2;      // times the mean in flight; the design's
-constexpr double spill_floor = 2;       // queries; the design's
-constexpr double sweep_period = 0.05;   // s; short beside any SLO time, cheap at 20 a second
-constexpr double start_cap = 8;         // executions of all proxies at a warm server not yet known
-constexpr double cold_cap = 1;          // executions; the least that still learns
+constexpr std::size_t zone_walk = 64;  // points walked for a candidate in the own zone; a zone may be small
+constexpr double dear_crossing = 0.05; // of an answer's worth; above it a key is worth a copy in each zone
+constexpr double spill_factor = 2;     // times the mean in flight; the design's
+constexpr double spill_floor = 2;      // queries; the design's
+constexpr double sweep_period = 0.05;  // s; short beside any SLO time, cheap at 20 a second
+constexpr double start_cap = 8;        // executions of all proxies at a warm server not yet known
+constexpr double cold_cap = 1;         // executions; the least that still learns
 constexpr double cold_haste = 1.4; // times its warmth; the part of its keys' queries that a cold server takes
 constexpr double least_cap = 2;    // executions of all proxies; a limit never shuts a server off
 constexpr index nobody = none - 1; // where no server may take a query, now or later
@@ -61,22 +58,17 @@
 constexpr double hold_share = 0.25;  // of the SLO time, and of its client's, that a query may wait for room
 constexpr double excess_room = 4;    // times their worth; so much of the room may queries beyond shares fill
 constexpr double advice_share = 0.5; // of what is left of a window; the rest is for the client and its way
-constexpr double tenant_burst = 8;   // queries; a proxy's small part of a share comes unevenly
 constexpr std::size_t drain_batch = 16; // held queries looked at for one freed place; bounds the CPU
-constexpr double first_call_gap = 0.5;  // s between calls for the list after a lost one, doubling
-constexpr double most_call_gap = 8;     // s; the list service is never loaded by waiting proxies
 
 class core final : public router, private router_state {
 public:
-    core(const router_settings &given, std::uint32_t seed, double now) : router_state(seed, now) {
+    core(const router_settings &given, std::uint32_t seed, double now)
+        : router_state(seed, now), hot_keys_(random_.fraction()), refresh_(now, random_.fraction()) {
         take(given);
         mean_response_time_ = minimum_silent_time_ / silent_share * slow_share / 2;
         retry_budget_ = repeat_burst;
-        hot_key_replica_draw_ = chance();
-        poll_backoff_ = first_call_gap;
         last_sweep_at_ = now;
         total_limit_ = {start_cap, least_cap / proxy_count_, all_slow_share, all_weight};
-        next_poll_at_ = now + chance() * poll_backoff_;
         actions.push_back({action_kind::set_timer, none, none, 0, now + sweep_period});
     }
 
@@ -97,9 +89,7 @@
         minimum_silent_time_ = by_time[(by_time.size() - 1) / 2].latency_objective * silent_share;
         deadline_margin_ =
             std::max(sweep_period, given.event_batch_interval) + 2 * given.event_batch_interval;
-        quotas_.clear();
-        for (const double quota : given.tenant_quotas)
-            quotas_.push_back({quota / proxy_count_, std::max(tenant_burst, quota / proxy_count_), now_});
+        quotas_.configure(given.tenant_quotas, proxy_count_, now_);
     }
 
     // Guards queries in hand against other settings: each keeps its use case, its end and what it was sent
@@ -162,18 +152,10 @@
             else
                 ring_endpoints_.push_back(id);
         }
-        std::erase_if(ring_, [&](const ring_point &each) {
-            return each.order >= endpoints_[each.endpoint].ring_points;
-        });
-        const auto kept = static_cast<std::ptrdiff_t>(ring_.size());
-        for (index id = 0; id < endpoints_.size(); ++id) {
-            auto &srv = endpoints_[id];
-            for (index order = srv.placed_ring_points; order < srv.ring_points; ++order)
-                ring_.push_back({ring_hash(srv.id + ":" + std::to_string(order)), id, order});
-            srv.placed_ring_points = srv.ring_points;
-        }
-        std::sort(ring_.begin() + kept, ring_.end());
-        std::inplace_merge(ring_.begin(), ring_.begin() + kept, ring_.end());
+        std::vector<ring_member> members;
+        for (const auto &srv : endpoints_)
+            members.push_back({srv.id, srv.ring_points});
+        ring_.update(members);
     }
 
     // The figures that depend on every server: who can take work, and how much.
@@ -246,23 +228,22 @@
         };
         bool at_home = cross_zone_cost_ < dear_crossing;
         const std::size_t wanted = std::min<std::size_t>(candidate_count, ring_endpoints_.size());
-        auto at =
-            std::upper_bound(ring_.begin(), ring_.end(), qry.ring_position,
-                             [](std::uint64_t key, const ring_point &each) { return key < each.position; });
-        for (std::size_t seen = 0; seen < ring_.size() && found.size() < wanted; ++seen) {
-            if (at == ring_.begin())
-                at = ring_.end();
-            --at;
-            const index id = at->endpoint;
+        std::size_t seen = 0;
+        ring_.visit_preceding(qry.ring_position, [&](const ring_point &point) {
+            if (found.size() >= wanted)
+                return false;
+            const index id = point.endpoint;
             const bool waits = !at_home && !own(id) && found.size() + 1 == wanted && seen < zone_walk;
-            if (waits || at->order >= endpoints_[id].active_ring_points ||
+            ++seen;
+            if (waits || point.virtual_node >= endpoints_[id].active_ring_points ||
                 (qry.has_hot_key && endpoints_[id].health == endpoint_health::warming_up) ||
                 std::find(found.begin(), found.end(), id) != found.end() || tried(id) || !usable(id, qry) ||
                 !may_go(qry, id))
-                continue;
+                return true;
             at_home = at_home || own(id);
             found.push_back(id);
-        }
+            return true;
+        });
         std::stable_partition(found.begin(), found.end(), own);
         return found;
     }
@@ -469,21 +450,6 @@
         }
     }
 
-    // Guards against keys hotter than their candidates: by its share of the latest queries, alike at all
-    // proxies, a key gets more places on the ring, and each proxy uses one.
-    index places_of(std::uint64_t key) {
-        recent_keys_.push_back(key);
-        const double count = ++recent_key_counts_[key];
-        if (recent_keys_.size() > recent_keys) {
-            const auto oldest = recent_key_counts_.find(recent_keys_.front());
-            recent_keys_.pop_front();
-            if (--oldest->second == 0)
-                recent_key_counts_.erase(oldest);
-        }
-        const double servers = (count - 1) / recent_keys * static_cast<double>(ring_endpoints_.size());
-        return static_cast<index>(std::max(1.0, std::floor(hot_factor * servers)));
-    }
-
     void on_request(double now, const request_info &from) override {
         now_ = now;
         if (from.request >= requests_.size())
@@ -500,25 +466,16 @@
         qry.class_settings = request_classes_[from.class_id];
         qry.has_key = from.has_key;
         qry.key = from.key;
-        const std::uint64_t key = from.has_key ? from.key : (std::uint64_t{random_()} << 31) + random_();
-        const index places = from.has_key ? places_of(key) : 1;
-        const auto at = static_cast<index>(hot_key_replica_draw_ * places);
+        const std::uint64_t key = from.has_key ? from.key : random_.key();
+        const index places = from.has_key ? hot_keys_.record(key, ring_endpoints_.size()) : 1;
         qry.has_hot_key = places > 1;
-        qry.ring_position =
-            ring_hash(std::to_string(key) + (at > 0 ? std::string("/").append(std::to_string(at)) : ""));
+        qry.ring_position = key_position(key, hot_keys_.replica_of(places));
         qry.deadline = from.deadline - deadline_margin_;
-        qry.admission_draw = chance();
+        qry.admission_draw = random_.fraction();
         qry.queue_deadline =
             now + hold_share * std::min(qry.class_settings.latency_objective, qry.deadline - now);
         retry_budget_ = std::min(repeat_burst, retry_budget_ + repeat_share);
-        if (from.tenant < quotas_.size()) {
-            auto &share = quotas_[from.tenant];
-            share.tokens =
-                std::min(std::max(tenant_burst, share.rate), share.tokens + share.rate * (now - share.at));
-            share.at = now;
-            qry.over_quota = share.rate > 0 && share.tokens < 1;
-            share.tokens -= qry.over_quota ? 0 : 1;
-        }
+        qry.over_quota = quotas_.is_over_quota(from.tenant, now);
         qry.priority_weight =
             qry.class_settings.priority_weight * (qry.over_quota ? over_quota_weight_share_ : 1);
         timers_.push({qry.deadline, from.request, generation});
@@ -569,7 +526,7 @@
             if (run.started_at >= srv.last_rejected_at)
                 srv.origin_backoff = std::clamp(2 * srv.origin_backoff, mean_response_time_, trust_memory);
             srv.last_rejected_at = now;
-            srv.overloaded_until = now + srv.origin_backoff * (0.5 + chance());
+            srv.overloaded_until = now + srv.origin_backoff * (0.5 + random_.fraction());
             learn(srv, run.started_at, 1, false);
         } else if (result == outcome::overloaded) {
             srv.overloaded_until =
@@ -760,13 +717,11 @@
                               std::span<const endpoint_info> entries) override {
         now_ = now;
         if (kind == endpoint_update_kind::poll_failed) {
-            next_poll_at_ = now + poll_backoff_ * (0.5 + chance());
-            poll_backoff_ = std::min({most_call_gap, constraints_.max_poll_interval, poll_backoff_ * 2});
+            refresh_.on_poll_failed(now, random_.fraction(), constraints_.max_poll_interval);
             return;
         }
         if (kind != endpoint_update_kind::cached_snapshot && kind != endpoint_update_kind::local) {
-            next_poll_at_ = std::numeric_limits<double>::infinity(); // subscribed, until it is lost
-            poll_backoff_ = first_call_gap;
+            refresh_.on_update();
         }
         std::vector<index> ready; // so far
         for (index id = 0; id < endpoints_.size() && constraints_.removal_is_advisory; ++id)
@@ -782,6 +737,7 @@
             const bool fresh = srv.id != entry.id; // also where the index was another's, which is gone
             if (fresh) {
                 srv = {};
+                ring_.reset(entry.endpoint);
                 srv.id = entry.id;
                 srv.limit = {std::max(1.0, start_cap / proxy_count_), least_cap / proxy_count_, slow_share,
                              slow_weight};
@@ -792,8 +748,7 @@
             srv.info = entry;
             srv.info.id = {}; // it is the caller's
             srv.removed_without_drain = srv.removed_without_drain && entry.state == endpoint_state::removed;
-            const double points = (constraints_.weights_are_dynamic ? 1 : entry.weight) * points_per_weight;
-            srv.ring_points = static_cast<index>(std::clamp(std::round(points), 1.0, most_points));
+            srv.ring_points = virtual_nodes_for_weight(constraints_.weights_are_dynamic ? 1 : entry.weight);
             if (!is_origin(srv) &&
                 (restarted || (fresh && (!is_snapshot(kind) || !ring_endpoints_.empty()))) &&
                 now - entry.started_at < slow_start_.warm_up_time) {
@@ -826,10 +781,9 @@
     void on_timer(double now) override {
         now_ = now;
         actions.push_back({action_kind::set_timer, none, none, 0, now + sweep_period});
-        if (constraints_.watch_required && now >= next_poll_at_) {
+        if (constraints_.watch_required && refresh_.is_due(now)) {
             actions.push_back({action_kind::watch_endpoints});
-            next_poll_at_ =
-                now + std::min(most_call_gap, constraints_.max_poll_interval); // mostly answered before this
+            refresh_.on_poll_sent(now, constraints_.max_poll_interval);
         }
         // Guards the servers' good names against a pause of this proxy: what came meanwhile is not read yet.
         const double late = std::max(0.0, now - std::exchange(last_sweep_at_, now) - 2 * sweep_period);
@@ -862,6 +816,9 @@
     }
 
 private:
+    hot_keys hot_keys_;
+    endpoint_refresh refresh_;
+
     template <typename State, typename Input> struct table_row {
         State at;
         Input in;
@@ -880,7 +837,6 @@
         srv.silent_time += srv.in_flight > 0 ? now_ - srv.silence_updated_at : 0;
         srv.silence_updated_at = now_;
     }
-    double chance() { return (static_cast<double>(random_()) - 1) / 2147483646.0; }
 };
 
 // What a query does next. A row that is missing means: nothing happens.
@@ -916,10 +872,6 @@
 
 } // namespace
 
-std::uint64_t ring_hash(std::string_view text) {
-    return XXH64(text.data(), text.size(), 0);
-}
-
 std::unique_ptr<router> make_router(const router_settings &given, std::uint32_t seed, double now) {
     return std::make_unique<core>(given, seed, now);
 }
