--- /dev/null
+++ b/src/router/endpoint_table.cpp
@@ -0,0 +1,59 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "router/endpoint_table.hpp"
+
+#include <utility>
+
+namespace harrierpass {
+
+endpoint_record endpoint_table::make_record(const endpoint_info &entry, adaptive_limit limit, double now) {
+    endpoint_record record;
+    record.id = entry.id;
+    record.limit = limit;
+    record.silence = silence_tracker(now);
+    return record;
+}
+
+endpoint_record &endpoint_table::at_or_new(endpoint_index endpoint) {
+    if (endpoint >= records_.size())
+        records_.resize(endpoint + 1);
+    return records_[endpoint];
+}
+
+void endpoint_table::mark_all_removed() {
+    for (auto &record : records_)
+        record.info.state = endpoint_state::removed;
+}
+
+std::vector<endpoint_index> endpoint_table::ready_cache_endpoints() const {
+    std::vector<endpoint_index> ready;
+    for (endpoint_index endpoint = 0; endpoint < size(); ++endpoint)
+        if (records_[endpoint].info.state == endpoint_state::ready && !is_origin(records_[endpoint]))
+            ready.push_back(endpoint);
+    return ready;
+}
+
+void endpoint_table::update_origin() {
+    if (origin_ != none && !is_origin(records_[origin_]))
+        origin_ = none;
+    for (endpoint_index endpoint = 0; endpoint < size(); ++endpoint) {
+        auto &record = records_[endpoint];
+        record.limit.set_origin(is_origin(record));
+        if (is_origin(record) && (origin_ == none || record.info.state != endpoint_state::removed))
+            origin_ = endpoint;
+    }
+    fleet_in_flight_ = 0;
+    for (endpoint_index endpoint = 0; endpoint < size(); ++endpoint)
+        fleet_in_flight_ += endpoint == origin_ ? 0 : records_[endpoint].in_flight;
+}
+
+void endpoint_table::count_in_flight(attempt_record &attempt, bool counts, double now) {
+    if (std::exchange(attempt.counts_in_flight, counts) == counts)
+        return;
+    auto &record = records_[attempt.endpoint];
+    record.silence.advance(record.in_flight, now);
+    const std::uint32_t change = counts ? 1 : -1U; // unsigned arithmetic wraps
+    record.in_flight += change;
+    fleet_in_flight_ += attempt.endpoint == origin_ ? 0 : change;
+}
+
+} // namespace harrierpass
--- /dev/null
+++ b/src/router/request_queue.cpp
@@ -0,0 +1,39 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "router/request_queue.hpp"
+
+#include <algorithm>
+
+namespace harrierpass {
+namespace {
+
+constexpr std::size_t batch_size = 16;    // requests
+constexpr double queue_time_share = 0.25; // of the time allowed
+
+} // namespace
+
+bool request_queue::add(request_index request, double priority_weight) {
+    const auto is_request = [&](const entry &queued) { return queued.request == request; };
+    if (std::ranges::any_of(entries_, is_request))
+        return false;
+    const auto position = std::ranges::find_if(
+        entries_, [&](const entry &queued) { return priority_weight > queued.priority_weight; });
+    entries_.insert(position, {request, priority_weight});
+    return true;
+}
+
+void request_queue::remove(request_index request) {
+    std::erase_if(entries_, [&](const entry &queued) { return queued.request == request; });
+}
+
+std::vector<request_index> request_queue::next_batch() const {
+    std::vector<request_index> batch;
+    for (std::size_t i = 0; i < std::min(batch_size, entries_.size()); ++i)
+        batch.push_back(entries_[i].request);
+    return batch;
+}
+
+double max_queue_time(double time_allowed) {
+    return queue_time_share * time_allowed;
+}
+
+} // namespace harrierpass
--- /dev/null
+++ b/src/router/request_router.hpp
@@ -0,0 +1,103 @@
+// SPDX-License-Identifier: Apache-2.0
+// The coordinator of the router's modules: it applies events in order, moves requests through their life, and
+// emits actions. It decides nothing that one of the modules can decide alone.
+#pragma once
+
+#include "router/candidate_selection.hpp"
+#include "router/endpoint_fleet.hpp"
+#include "router/endpoint_refresh.hpp"
+#include "router/hot_keys.hpp"
+#include "router/origin_protection.hpp"
+#include "router/quota.hpp"
+#include "router/random_source.hpp"
+#include "router/request_lifecycle.hpp"
+#include "router/request_queue.hpp"
+#include "router/request_table.hpp"
+#include "router/retry_policy.hpp"
+#include "router/router.hpp"
+#include "router/state_table.hpp"
+
+#include <array>
+
+namespace harrierpass {
+
+/// The router that make_router() makes. It owns the state of all modules.
+///
+/// Invariants: a request gets one final action (reject_request or fail_request, unless its response was
+/// relayed), and release_request once no attempt of it is open. Random draws have a fixed order.
+class request_router final : public router {
+public:
+    request_router(const router_settings &settings, std::uint32_t seed, double now);
+    request_router(const request_router &) = delete;
+    request_router &operator=(const request_router &) = delete;
+    request_router(request_router &&) = delete;
+    request_router &operator=(request_router &&) = delete;
+    ~request_router() override = default;
+
+    void on_endpoints_updated(double now, endpoint_update_kind kind,
+                              std::span<const endpoint_info> entries) override;
+    void on_request(double now, const request_info &info) override;
+    void on_attempt_finished(double now, request_index id, attempt_number number, outcome result, bool over,
+                             bool fetched, const load_report &report) override;
+    void on_response_started(double now, request_index id, bool fetched) override;
+    void on_request_body_sent(double now, request_index id, double deadline) override;
+    void on_client_disconnected(double now, request_index id) override;
+    void on_health_check_finished(double now, endpoint_index endpoint, bool answered,
+                                  const load_report &report) override;
+    void on_timer(double now) override;
+    void update_settings(double now, const router_settings &settings) override;
+    [[nodiscard]] double attempt_write_deadline(request_index id) const override;
+    [[nodiscard]] bool avoids_endpoint(endpoint_index endpoint) const override;
+    [[nodiscard]] bool is_ejected(endpoint_index endpoint) const override;
+
+private:
+    using handler = request_event (request_router::*)(request_index);
+    using request_transition = transition<request_state, request_event, handler>;
+    static const std::array<request_transition, 15> transitions;
+
+    void configure(const router_settings &settings);
+    void initialize(request_record &request, const request_info &info);
+    void place_on_ring(request_record &request, const request_info &info);
+    void apply_request_event(request_index id, request_event event);
+    void cancel_attempts_at(endpoint_index endpoint);
+    void poll_endpoints();
+    void check_endpoints();
+    void expire_deadlines();
+    void dispatch_queued();
+    void start_attempt(request_index id, endpoint_index to);
+    static request_event event_for(const request_record &request, outcome result, bool over);
+
+    // Handlers of request events.
+    request_event admit(request_index id);
+    request_event dispatch(request_index id);
+    request_event enqueue(request_index id);
+    request_event finish(request_index id);
+    request_event release(request_index id);
+    request_event retry(request_index id);
+    request_event retry_unexecuted(request_index id);
+    request_event retry_elsewhere(request_index id);
+    request_event fetch_from_origin(request_index id);
+    request_event wait_for_attempt(request_index id);
+
+    double now_;           // of the event being applied, s
+    random_source random_; // before the members that draw from it
+    deployment_constraints constraints_;
+    std::vector<request_class> request_classes_;
+    double over_quota_weight_share_ = 1;
+    bool has_origin_kind_ = false;
+    double deadline_margin_ = 0; // s; a request gets its final answer so long before its client gives up
+    double last_check_at_;       // s
+    hot_keys hot_keys_;
+    endpoint_refresh endpoint_refresh_;
+    tenant_quotas quotas_;
+    request_table requests_;
+    request_timers timers_;
+    request_queue queue_;
+    fetch_coalescer fetches_;
+    retry_budget retry_budget_;
+    retry_policy retry_policy_;
+    endpoint_fleet endpoints_;
+    candidate_selection selection_;
+};
+
+} // namespace harrierpass
