--- a/src/router/candidate_selection.cpp
+++ b/src/router/candidate_selection.cpp
@@ -61,7 +61,8 @@
         found.push_back(point.endpoint);
         return true;
     });
-    std::ranges::stable_partition(found, [&](endpoint_index endpoint) { return is_local(endpoint); });
+    std::stable_partition(found.begin(), found.end(),
+                          [&](endpoint_index endpoint) { return is_local(endpoint); });
     return found;
 }
 
--- a/src/router/hash_ring.cpp
+++ b/src/router/hash_ring.cpp
@@ -41,7 +41,8 @@
     for (endpoint_index endpoint = 0; endpoint < members.size(); ++endpoint) {
         const auto &member = members[endpoint];
         for (std::uint32_t node = placed_[endpoint]; node < member.virtual_nodes; ++node) {
-            const std::string name = std::string(member.id) + ":" + std::to_string(node);
+            std::string name(member.id);
+            name.append(":").append(std::to_string(node));
             points_.push_back({ring_hash(name), endpoint, node});
         }
         placed_[endpoint] = member.virtual_nodes;
--- a/src/router/request_router.cpp
+++ b/src/router/request_router.cpp
@@ -12,8 +12,8 @@
 
 } // namespace
 
-std::unique_ptr<router> make_router(const router_settings &settings, std::uint32_t seed, double now) {
-    return std::make_unique<request_router>(settings, seed, now);
+std::unique_ptr<router> make_router(const router_settings &given, std::uint32_t seed, double now) {
+    return std::make_unique<request_router>(given, seed, now);
 }
 
 // ---- Settings
