--- /dev/null
+++ b/tests/router/origin_protection_test.cpp
@@ -0,0 +1,46 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "router/origin_protection.hpp"
+
+#include <doctest/doctest.h>
+
+namespace harrierpass {
+
+TEST_CASE("origin protection: a key has one leader until its fetch ends") {
+    fetch_coalescer fetches;
+    CHECK(!fetches.is_in_progress(7));
+    CHECK(fetches.begin(7, 1));
+    CHECK(fetches.is_in_progress(7));
+    CHECK(!fetches.begin(7, 2));
+    CHECK(fetches.begin(8, 2));
+    fetches.end(7);
+    CHECK(!fetches.is_in_progress(7));
+    CHECK(fetches.is_in_progress(8));
+    CHECK(fetches.begin(7, 2));
+}
+
+TEST_CASE("origin protection: the backoff doubles with each refusal up to a second") {
+    origin_backoff backoff;
+    CHECK(backoff.on_refusal(10, 10, 0.1, 0.5) == doctest::Approx(10.1));
+    CHECK(backoff.on_refusal(11, 11, 0.1, 0.5) == doctest::Approx(11.2));
+    for (double now = 12; now < 20; ++now)
+        backoff.on_refusal(now, now, 0.1, 0.5);
+    CHECK(backoff.on_refusal(20, 20, 0.1, 0.5) == 21);
+    CHECK(backoff.on_refusal(21, 21, 0.1, 0) == 21.5);
+}
+
+TEST_CASE("origin protection: attempts that were in flight together count as one refusal") {
+    origin_backoff backoff;
+    backoff.on_refusal(10, 10.1, 0.1, 0.5);
+    CHECK(backoff.on_refusal(10, 10.1, 0.1, 0.5) == doctest::Approx(10.2));
+}
+
+TEST_CASE("origin protection: a response halves the backoff") {
+    origin_backoff backoff;
+    for (double now = 1; now < 20; ++now)
+        backoff.on_refusal(now, now, 0.1, 0.5);
+    backoff.on_response();
+    backoff.on_response();
+    CHECK(backoff.on_refusal(20, 20, 0.1, 0.5) == 20.5);
+}
+
+} // namespace harrierpass
