--- a/src/router/candidate_selection.cpp
+++ b/src/router/candidate_selection.cpp
@@ -138,7 +138,6 @@
     return endpoints_.table()[endpoint].info.zone == preferred_zone_;
 }
 
-// Attempts in flight above which an endpoint passes requests on to the next candidate.
 double candidate_selection::spill_threshold() const {
     const double mean =
         spill_factor * (endpoints_.table().fleet_in_flight() + 1.0) / endpoints_.usable_count();
--- a/src/router/candidate_selection.hpp
+++ b/src/router/candidate_selection.hpp
@@ -34,6 +34,7 @@
     candidate_selection(const endpoint_fleet &endpoints, const retry_policy &retries)
         : endpoints_(endpoints), retries_(retries) {}
 
+    /// Takes over zone preference and permission for health checks.
     void configure(const router_settings &settings);
 
     /// The endpoint for the next attempt of the request.
@@ -44,14 +45,22 @@
                                                               double now) const;
 
 private:
+    /// The origin, if it is ready and has capacity.
     selection select_origin(const request_record &request, double now) const;
+    /// The first candidate that is not much busier than others, else the least loaded one.
     selection select_least_loaded(const request_record &request,
                                   const std::vector<endpoint_index> &candidates, double now) const;
+    /// The limits of the endpoint and of all endpoints leave room for the request.
     bool admits(const endpoint_record &endpoint, const request_record &request, double now) const;
+    /// The point is in use, and its endpoint may take the request.
     bool is_candidate(const ring_point &point, const request_record &request, double now) const;
+    /// The endpoint is not avoided, or the request may serve as its health check.
     bool is_usable(const endpoint_record &endpoint, const request_record &request, double now) const;
+    /// The retry policy still allows an attempt there.
     bool may_dispatch(const request_record &request, endpoint_index to, double now) const;
+    /// The endpoint is in the preferred zone.
     bool is_local(endpoint_index endpoint) const;
+    /// Attempts in flight above which an endpoint passes requests on to the next candidate.
     double spill_threshold() const;
 
     const endpoint_fleet &endpoints_;
--- a/src/router/endpoint_fleet.hpp
+++ b/src/router/endpoint_fleet.hpp
@@ -77,14 +77,18 @@
     [[nodiscard]] bool has_capacity(const endpoint_record &endpoint, double admission_draw, double now) const;
     /// Requests in flight at the endpoint by its reports, in proportion to its warm-up progress.
     [[nodiscard]] double reported_load_of(const endpoint_record &endpoint, double now) const;
+    /// Mean of the requests in flight that endpoints report.
     [[nodiscard]] double mean_reported_load() const { return reports_.mean(); }
     /// Errors are the requests' own fault at present.
     [[nodiscard]] bool errors_are_common(endpoint_index endpoint) const {
         return outliers_.errors_are_common(table_[endpoint].outlier);
     }
 
+    /// The records of all endpoints.
     [[nodiscard]] const endpoint_table &table() const { return table_; }
+    /// The ring of the members.
     [[nodiscard]] const hash_ring &ring() const { return ring_; }
+    /// Ready cache endpoints, by index.
     [[nodiscard]] std::span<const endpoint_index> members() const { return members_; }
     /// Members that are not avoided, at least 1.
     [[nodiscard]] std::uint32_t usable_count() const { return usable_count_; }
@@ -92,14 +96,22 @@
     [[nodiscard]] double capacity() const { return limits_.fleet_capacity(); }
 
 private:
+    /// Takes over settings in all modules below.
     void configure(const router_settings &settings);
+    /// Applies one entry of the list; new and restarted endpoints warm up.
     void update_entry(const endpoint_info &entry, bool in_snapshot, double now);
+    /// Keeps an endpoint that was removed without a drain, as ejected; true: after a silence.
     bool keep_removed(endpoint_index endpoint, double now);
+    /// Brings members and ring in line with the table.
     void update_ring();
+    /// Applies a health event; true: the endpoint was ejected after a silence.
     bool apply(endpoint_index endpoint, health_event event, double now);
+    /// Warm-up progress, 1 for an endpoint that does not warm up.
     double progress(const endpoint_record &endpoint, double now) const;
+    /// Records a latency sample, as a share of the objective, for the limits.
     void record_latency(endpoint_record &endpoint, double started_at, double latency_share, bool fetched,
                         double now);
+    /// The same for the origin, whose limit has a baseline.
     void record_origin_latency(endpoint_record &origin, const latency_sample &sample, double now);
 
     deployment_constraints constraints_;
--- a/src/router/endpoint_table.hpp
+++ b/src/router/endpoint_table.hpp
@@ -14,7 +14,7 @@
 
 namespace harrierpass {
 
-/// Health of an endpoint; endpoint_health.hpp has the transitions.
+/// Health of an endpoint; endpoint_health.cpp has the transitions.
 enum class endpoint_health : std::uint8_t { healthy, warming_up, ejected };
 
 /// An endpoint that is listed, or was. The classes among the members have their own invariants.
--- a/src/router/request_router.hpp
+++ b/src/router/request_router.hpp
@@ -51,32 +51,55 @@
     [[nodiscard]] bool is_ejected(endpoint_index endpoint) const override;
 
 private:
+    /// Returns the event that follows.
     using handler = request_event (request_router::*)(request_index);
     using request_transition = transition<request_state, request_event, handler>;
     static const std::array<request_transition, 15> transitions;
 
+    /// Takes over settings; what was learned stays.
     void configure(const router_settings &settings);
+    /// Fills the record of a new request. Draws from the random source.
     void initialize(request_record &request, const request_info &info);
+    /// Gives the request its position on the ring; one without a key gets a random position.
     void place_on_ring(request_record &request, const request_info &info);
+    /// Applies an event and those that follow from it.
     void apply_request_event(request_index id, request_event event);
+    /// Requests whose latest attempt is at the endpoint are attempted elsewhere.
     void cancel_attempts_at(endpoint_index endpoint);
+    /// Asks for the endpoint list, if that is due.
     void poll_endpoints();
+    /// Looks for silent endpoints, finished warm-ups and due health checks.
     void check_endpoints();
+    /// Ends requests, and waits, whose deadline has passed.
     void expire_deadlines();
+    /// Dispatches the first requests in the queue, as capacity may have become free.
     void dispatch_queued();
+    /// Sends the request to the endpoint.
     void start_attempt(request_index id, endpoint_index to);
+    /// The event of a request whose attempt ended. `over`: the request has its final response.
     static request_event event_for(const request_record &request, outcome result, bool over);
 
-    // Handlers of request events.
+    // Handlers of the transitions, in request_lifecycle.cpp.
+
+    /// Rejects a request over quota where capacity is short.
     request_event admit(request_index id);
+    /// Selects an endpoint and starts an attempt there.
     request_event dispatch(request_index id);
+    /// Lets the request wait for capacity.
     request_event enqueue(request_index id);
+    /// Gives the final answer: rejected where the client may retry, failed elsewhere.
     request_event finish(request_index id);
+    /// Frees the index of a finished request, once its attempts have ended.
     request_event release(request_index id);
+    /// Attempts the request again, within the retry budget, where a second execution is allowed.
     request_event retry(request_index id);
+    /// Attempts the request again, as it was not executed.
     request_event retry_unexecuted(request_index id);
+    /// Cancels the latest attempt; its end leads to a retry.
     request_event retry_elsewhere(request_index id);
+    /// Sends the request to the origin, or lets it wait for another request's fetch of its key.
     request_event fetch_from_origin(request_index id);
+    /// Nothing is to be done until the attempt ends.
     request_event wait_for_attempt(request_index id);
 
     double now_;           // of the event being applied, s
--- a/src/router/request_table.hpp
+++ b/src/router/request_table.hpp
@@ -23,7 +23,7 @@
     bool counts_in_flight = false;
 };
 
-/// Where a request is in its life; request_lifecycle.hpp has the transitions.
+/// Where a request is in its life; request_lifecycle.cpp has the transitions.
 enum class request_state : std::uint8_t { queued, in_progress, finished };
 
 /// A request, from its arrival until its index is free again.
