--- a/src/router/concurrency_limits.hpp
+++ b/src/router/concurrency_limits.hpp
@@ -38,13 +38,16 @@
     /// The limit of all cache endpoints together, per warm endpoint.
     static adaptive_limit for_fleet(double proxy_count);
 
+    /// Raises or lowers the limit by a sample.
     void record(const latency_sample &sample, double now);
 
     /// The latest samples show response times that this endpoint has at its minimum limit, so they are not
     /// caused by load. `at_rest`: it is at that minimum.
     void update_baseline(bool at_rest);
 
+    /// The minimum is divided evenly among so many proxies.
     void set_proxy_count(double proxy_count);
+    /// Whether the target response time is the origin's or an endpoint's.
     void set_origin(bool is_origin);
     /// The limit is per unit: attempts allowed are limit() times this number.
     void set_units(double units) { units_ = units; }
@@ -52,9 +55,13 @@
     void reset(double limit);
 
     [[nodiscard]] double limit() const { return limit_; } ///< Attempts, per unit.
+    /// Warm endpoints that the limit binds together.
     [[nodiscard]] double units() const { return units_; }
+    /// The limit cannot be lowered further.
     [[nodiscard]] bool is_at_minimum() const { return limit_ <= minimum_; }
+    /// Mean response time as a share of the latency objective.
     [[nodiscard]] double mean_latency_share() const { return mean_latency_share_; }
+    /// Time of the latest sample that counted, s.
     [[nodiscard]] double last_sample_at() const { return last_sample_at_; }
 
 private:
@@ -100,6 +107,7 @@
     [[nodiscard]] double fleet_capacity() const { return fleet_capacity_; }         ///< Attempts.
 
 private:
+    /// Network latency of a zone beyond the local zone's, s.
     double network_latency(zone_index zone, double elapsed);
 
     adaptive_limit fleet_limit_;
--- a/src/router/endpoint_refresh.hpp
+++ b/src/router/endpoint_refresh.hpp
@@ -11,6 +11,7 @@
     /// `jitter`, here and below, is a draw in [0, 1).
     endpoint_refresh(double now, double jitter);
 
+    /// The list should be asked for.
     [[nodiscard]] bool is_due(double now) const { return now >= next_poll_at_; }
 
     /// A poll was sent; it is repeated if neither an update nor a failure is reported.
--- a/src/router/endpoint_table.hpp
+++ b/src/router/endpoint_table.hpp
@@ -42,6 +42,7 @@
 /// update_origin(); an index stands for one id until another id is placed there.
 class endpoint_table {
 public:
+    /// The kind of the origin's entry; none: there is no origin. update_origin() applies it.
     void set_origin_kind(index origin_kind) { origin_kind_ = origin_kind; }
     /// A record as a new endpoint has it. `limit`: its first limit.
     static endpoint_record make_record(const endpoint_info &entry, adaptive_limit limit, double now);
@@ -56,6 +57,7 @@
     /// Counts an attempt as in flight, or no longer; nothing changes if it is counted so already.
     void count_in_flight(attempt_record &attempt, bool counts, double now);
 
+    /// The endpoint is of the origin's kind.
     [[nodiscard]] bool is_origin(const endpoint_record &record) const {
         return origin_kind_ != none && record.info.kind == origin_kind_;
     }
--- a/src/router/hash_ring.hpp
+++ b/src/router/hash_ring.hpp
@@ -60,6 +60,7 @@
     }
 
 private:
+    /// Number of the first point after the position.
     std::size_t first_after(std::uint64_t position) const;
 
     std::vector<ring_point> points_;
--- a/src/router/load_reports.hpp
+++ b/src/router/load_reports.hpp
@@ -22,6 +22,7 @@
     /// Present load of an endpoint, in requests in flight.
     [[nodiscard]] double estimate(const reported_load &load, double now) const;
 
+    /// Mean of the reports, in requests in flight.
     [[nodiscard]] double mean() const { return mean_in_flight_; }
 
 private:
--- a/src/router/origin_protection.hpp
+++ b/src/router/origin_protection.hpp
@@ -14,9 +14,11 @@
 /// Invariant: a key has at most one leader, which ends its fetch when it finishes.
 class fetch_coalescer {
 public:
+    /// The key has a leader.
     [[nodiscard]] bool is_in_progress(std::uint64_t key) const { return leaders_.contains(key); }
     /// Makes the request the leader of the key's fetch, if it has none; true if it was made so.
     bool begin(std::uint64_t key, request_index leader) { return leaders_.emplace(key, leader).second; }
+    /// The leader has finished.
     void end(std::uint64_t key) { leaders_.erase(key); }
 
 private:
--- a/src/router/outlier_detection.hpp
+++ b/src/router/outlier_detection.hpp
@@ -47,7 +47,9 @@
     void record_response(bool is_error); ///< For the error rate.
     void record_failure(double weight);  ///< For the failure rate.
     void record_success();               ///< For the failure rate.
+    /// A connection was reset or refused.
     void record_connection_failure() { connection_failed_ = true; }
+    /// Its failures so far do not count.
     void clear_failure_rate() { failure_rate_ = 0; }
 
     /// Ejects the endpoint; `was_silent`: for its silence, not for failures.
@@ -61,9 +63,13 @@
     /// The next response comes from a restarted process.
     void expect_restart() { health_check_failed_ = true; }
 
+    /// Share of errors among its responses.
     [[nodiscard]] double error_rate() const { return error_rate_; }
+    /// So many attempts failed that it is an outlier.
     [[nodiscard]] bool exceeds_failure_limit() const;
+    /// Its backoff is over.
     [[nodiscard]] bool is_health_check_due(double now) const { return now >= next_health_check_at_; }
+    /// Time of its latest ejection, s; 0: never.
     [[nodiscard]] double ejected_at() const { return ejected_at_; }
     /// A health check failed since the ejection, so an endpoint that responds again was restarted.
     [[nodiscard]] bool has_failed_health_check() const { return health_check_failed_; }
--- a/src/router/request_queue.hpp
+++ b/src/router/request_queue.hpp
@@ -15,6 +15,7 @@
 public:
     /// Adds the request if it is not queued already; true if it was added.
     bool add(request_index request, double priority_weight);
+    /// Removes the request, if it is queued.
     void remove(request_index request);
     /// The requests to dispatch next; they stay in the queue. Bounded, as it is made for every slot that
     /// falls free.
--- a/src/router/request_table.hpp
+++ b/src/router/request_table.hpp
@@ -82,6 +82,7 @@
 /// due; is_expired() tells them apart.
 class request_timers {
 public:
+    /// Adds a deadline, s.
     void add(double at, request_index request, std::uint32_t generation) {
         timers_.push({at, request, generation});
     }
--- a/src/router/retry_policy.hpp
+++ b/src/router/retry_policy.hpp
@@ -18,7 +18,9 @@
     retry_budget();
     /// A request arrived.
     void earn();
+    /// A retry may be sent.
     [[nodiscard]] bool is_available() const { return tokens_ >= 1; }
+    /// A retry is being sent; one has to be available.
     void spend() { --tokens_; }
 
 private:
--- a/src/router/slow_start.hpp
+++ b/src/router/slow_start.hpp
@@ -15,6 +15,7 @@
 /// Invariant: progress is between 0 and 1 and never falls while an endpoint warms up.
 class slow_start {
 public:
+    /// New settings hold for every endpoint from now on.
     void configure(const slow_start_settings &settings) { settings_ = settings; }
 
     /// Share of its ring points that an endpoint uses which started to warm up then.
