--- a/src/router/candidate_selection.hpp
+++ b/src/router/candidate_selection.hpp
@@ -31,6 +31,7 @@
 /// Invariant: an endpoint is only selected before the retry policy's dispatch deadline.
 class candidate_selection {
 public:
+    /// Keeps both references; configure() has to follow.
     candidate_selection(const endpoint_fleet &endpoints, const retry_policy &retries)
         : endpoints_(endpoints), retries_(retries) {}
 
--- a/src/router/endpoint_table.hpp
+++ b/src/router/endpoint_table.hpp
@@ -66,6 +66,7 @@
         return fleet_in_flight_;
     } ///< Without the origin's.
 
+    /// The record of an index that was listed before.
     endpoint_record &operator[](endpoint_index endpoint) { return records_[endpoint]; }
     const endpoint_record &operator[](endpoint_index endpoint) const { return records_[endpoint]; }
     [[nodiscard]] endpoint_index size() const { return static_cast<endpoint_index>(records_.size()); }
--- a/src/router/random_source.hpp
+++ b/src/router/random_source.hpp
@@ -11,6 +11,7 @@
 /// A seeded generator (Park and Miller's minimal standard), owned by the router.
 class random_source {
 public:
+    /// Equal seeds give equal draws.
     explicit random_source(std::uint32_t seed) : engine_(seed) {}
 
     /// Uniform in [0, 1).
--- a/src/router/request_table.hpp
+++ b/src/router/request_table.hpp
@@ -61,6 +61,7 @@
     /// Frees the index; its attempts have ended.
     void release(request_index request);
 
+    /// The record of an index that was created before.
     request_record &operator[](request_index request) { return records_[request]; }
     const request_record &operator[](request_index request) const { return records_[request]; }
     [[nodiscard]] request_index size() const { return static_cast<request_index>(records_.size()); }
