--- a/src/subsets/coverage_report.cpp
+++ b/src/subsets/coverage_report.cpp
@@ -10,66 +10,66 @@
 
 namespace harrierpass::subsets {
 
-std::vector<index> selected_endpoints(const coverage_proxy &of,
-                                      const std::vector<coverage_endpoint> &servers) {
-    std::vector<std::pair<std::uint64_t, index>> nearest;
-    for (index i = 0; i < servers.size(); ++i)
-        nearest.emplace_back(distance(of.proxy_index, servers[i].id), i);
-    std::ranges::sort(nearest);
+std::vector<index> selected_endpoints(const coverage_proxy &proxy,
+                                      const std::vector<coverage_endpoint> &endpoints) {
+    std::vector<std::pair<std::uint64_t, index>> ranked;
+    for (index i = 0; i < endpoints.size(); ++i)
+        ranked.emplace_back(distance(proxy.proxy_index, endpoints[i].id), i);
+    std::ranges::sort(ranked);
     std::vector<std::uint64_t> distances;
-    std::vector<index> made;
-    for (const auto &[away, id] : nearest) {
-        distances.push_back(away);
-        made.push_back(id);
+    std::vector<index> selected;
+    for (const auto &[endpoint_distance, endpoint] : ranked) {
+        distances.push_back(endpoint_distance);
+        selected.push_back(endpoint);
     }
-    made.resize(
-        compute_subset_reach(distances, std::vector<double>(distances.size(), 1.0), 1, of.level).wanted);
-    return made;
+    const std::vector<double> usable_shares(distances.size(), 1.0);
+    selected.resize(compute_subset_reach(distances, usable_shares, 1, proxy.level).wanted);
+    return selected;
 }
 
 coverage_report compute_coverage(const std::vector<coverage_proxy> &proxies,
-                                 const std::vector<coverage_endpoint> &servers, const subset_costs &given) {
-    coverage_report made{std::vector<index>(servers.size()), std::vector<double>(servers.size()),
-                         std::vector<double>(servers.size()), std::vector<index>(proxies.size()), 0};
-    double all_rate = 0, all_weight = 0;
-    for (const auto &each : servers)
-        all_weight += each.weight;
+                                 const std::vector<coverage_endpoint> &endpoints, const subset_costs &costs) {
+    coverage_report report{std::vector<index>(endpoints.size()), std::vector<double>(endpoints.size()),
+                           std::vector<double>(endpoints.size()), std::vector<index>(proxies.size()), 0};
+    double total_rate = 0, total_weight = 0;
+    for (const auto &endpoint : endpoints)
+        total_weight += endpoint.weight;
     for (std::size_t i = 0; i < proxies.size(); ++i) {
-        const auto mine = selected_endpoints(proxies[i], servers);
-        double weight = 0;
-        for (const index id : mine)
-            weight += servers[id].weight;
-        made.subset_sizes[i] = static_cast<index>(mine.size());
-        all_rate += proxies[i].attempt_rate;
-        for (const index id : mine) {
-            const double rate = proxies[i].attempt_rate * servers[id].weight / weight;
-            const double gone =
-                std::exp(-given.idle_timeout * rate); // no execution for as long as one may rest
-            ++made.proxies_per_endpoint[id];
-            made.relative_load[id] += rate;
-            made.idle_connections[id] += 1 - gone;
-            made.new_connections_per_attempt += rate * gone;
+        const auto selected = selected_endpoints(proxies[i], endpoints);
+        double selected_weight = 0;
+        for (const index id : selected)
+            selected_weight += endpoints[id].weight;
+        report.subset_sizes[i] = static_cast<index>(selected.size());
+        total_rate += proxies[i].attempt_rate;
+        for (const index id : selected) {
+            const double rate = proxies[i].attempt_rate * endpoints[id].weight / selected_weight;
+            // The share of attempts before which the connection was idle for too long.
+            const double expired = std::exp(-costs.idle_timeout * rate);
+            ++report.proxies_per_endpoint[id];
+            report.relative_load[id] += rate;
+            report.idle_connections[id] += 1 - expired;
+            report.new_connections_per_attempt += rate * expired;
         }
     }
-    for (std::size_t id = 0; id < servers.size() && all_rate > 0; ++id)
-        made.relative_load[id] /= all_rate * servers[id].weight / all_weight;
-    made.new_connections_per_attempt /= std::max(1e-9, all_rate);
-    return made;
+    for (std::size_t id = 0; id < endpoints.size() && total_rate > 0; ++id)
+        report.relative_load[id] /= total_rate * endpoints[id].weight / total_weight;
+    report.new_connections_per_attempt /= std::max(1e-9, total_rate);
+    return report;
 }
 
-std::size_t count_new_assignments(const std::vector<coverage_proxy> &before,
-                                  const std::vector<coverage_endpoint> &old_servers,
-                                  const std::vector<coverage_proxy> &after,
-                                  const std::vector<coverage_endpoint> &servers) {
-    std::map<index, std::set<std::string>> had;
-    for (const auto &each : before)
-        for (const index id : selected_endpoints(each, old_servers))
-            had[each.proxy_index].insert(old_servers[id].id);
-    std::size_t made = 0;
-    for (const auto &each : after)
-        for (const index id : selected_endpoints(each, servers))
-            made += !had[each.proxy_index].contains(servers[id].id);
-    return made;
+std::size_t count_new_assignments(const std::vector<coverage_proxy> &proxies_before,
+                                  const std::vector<coverage_endpoint> &endpoints_before,
+                                  const std::vector<coverage_proxy> &proxies_after,
+                                  const std::vector<coverage_endpoint> &endpoints_after) {
+    std::map<index, std::set<std::string>> assigned_before;
+    for (const auto &proxy : proxies_before)
+        for (const index id : selected_endpoints(proxy, endpoints_before))
+            assigned_before[proxy.proxy_index].insert(endpoints_before[id].id);
+    std::size_t count = 0;
+    for (const auto &proxy : proxies_after)
+        for (const index id : selected_endpoints(proxy, endpoints_after))
+            count += !assigned_before[proxy.proxy_index].contains(endpoints_after[id].id);
+    return count;
 }
 
 } // namespace harrierpass::subsets
--- a/src/subsets/endpoint_ranking.cpp
+++ b/src/subsets/endpoint_ranking.cpp
@@ -8,39 +8,42 @@
 namespace harrierpass::subsets {
 namespace {
 
-constexpr double least_usable = 6;   // servers; twice the candidates
-constexpr double usable_share = 0.7; // of the width; a third of a fleet, a zone, may be lost before more come
-constexpr index round_size = 1U << max_subset_level; // proxies that deal all servers out among themselves
-
-// The proxy's place: its number in the round, bits reversed, at the top; below it what tells proxies of one
-// arc apart.
-std::uint64_t place_of(index me) {
-    std::uint64_t place = XXH64(&me, sizeof me, 0) >> max_subset_level;
+constexpr double min_usable_endpoints = 6; // twice the candidates of a request
+constexpr double min_usable_share =
+    0.7; // of the subset; losing up to the rest, such as a zone, widens nothing
+constexpr index round_size = 1U << max_subset_level; // proxies that divide all endpoints among themselves
+
+// The proxy's position on its circle: its number in the round, bits reversed, in the highest bits; a hash
+// below them tells apart proxies of the same arc.
+std::uint64_t position_of(index proxy_index) {
+    std::uint64_t position = XXH64(&proxy_index, sizeof proxy_index, 0) >> max_subset_level;
     for (index bit = 0; bit < max_subset_level; ++bit)
-        place |= std::uint64_t{(me % round_size) >> bit & 1U} << (63 - bit);
-    return place;
+        position |= std::uint64_t{(proxy_index % round_size) >> bit & 1U} << (63 - bit);
+    return position;
 }
 
 } // namespace
 
-std::uint64_t distance(index me, std::string_view id) {
-    return XXH64(id.data(), id.size(), me / round_size + 1) ^ place_of(me);
+std::uint64_t distance(index proxy_index, std::string_view endpoint_id) {
+    const index round_seed = proxy_index / round_size + 1;
+    return XXH64(endpoint_id.data(), endpoint_id.size(), round_seed) ^ position_of(proxy_index);
 }
 
-subset_reach compute_subset_reach(std::span<const std::uint64_t> distances, std::span<const double> parts,
-                                  double mean_part, index level) {
-    // Guards against all servers for every proxy where most of the fleet is cold: the others are no warmer.
-    const double width = static_cast<double>(distances.size()) / std::exp2(static_cast<double>(level));
-    const double need = std::max(least_usable, usable_share * width) * mean_part;
-    subset_reach made;
-    while (made.preferred < distances.size() && is_preferred(distances[made.preferred], level))
-        ++made.preferred;
-    for (double have = 0; made.wanted < distances.size(); ++made.wanted) {
-        if (made.wanted >= made.preferred && have >= need)
+subset_reach compute_subset_reach(std::span<const std::uint64_t> distances,
+                                  std::span<const double> usable_shares, double mean_share, index level) {
+    const double subset_size = static_cast<double>(distances.size()) / std::exp2(static_cast<double>(level));
+    // Measured by the mean share: while most of the fleet warms up, further endpoints are no better.
+    const double needed = std::max(min_usable_endpoints, min_usable_share * subset_size) * mean_share;
+    subset_reach reach;
+    while (reach.preferred < distances.size() && is_preferred(distances[reach.preferred], level))
+        ++reach.preferred;
+    double usable = 0;
+    for (; reach.wanted < distances.size(); ++reach.wanted) {
+        if (reach.wanted >= reach.preferred && usable >= needed)
             break;
-        have += parts[made.wanted];
+        usable += usable_shares[reach.wanted];
     }
-    return made;
+    return reach;
 }
 
 bool is_preferred(std::uint64_t distance, index level) {
--- a/src/subsets/subset_size.cpp
+++ b/src/subsets/subset_size.cpp
@@ -9,62 +9,79 @@
 namespace harrierpass::subsets {
 namespace {
 
-constexpr double least_width = 12; // servers; four times the candidates, so that losing half leaves enough
-constexpr double least_spread = 4; // servers for each execution in flight; what meets at one then is rare
-constexpr double least_users = 8;  // proxies at each server; their uneven traffic then still evens out
-constexpr double first_width = 48; // servers; four times the least, as nothing is known of what will be sent
-constexpr double worth_a_move = 0.1; // of a handshake's price; below it the level is not changed
+constexpr double min_subset_size = 12; // endpoints; losing half leaves twice a request's candidates
+constexpr double min_endpoints_per_in_flight = 4; // so that two attempts rarely meet at one endpoint
+constexpr double min_proxies_per_endpoint = 8;    // so that their uneven traffic evens out
+constexpr double initial_subset_size = 48;        // endpoints, while the traffic is unknown
+constexpr double min_gain = 0.1;                  // of a connection's cost; below it the level is kept
+
+// What remains of `count` at a level.
+double share_at(double count, index level) {
+    return count / std::exp2(static_cast<double>(level));
+}
+
+// Whether, at a level, enough proxies use each endpoint and each proxy enough endpoints. `part` scales the
+// bounds.
+bool has_enough(const traffic_sample &traffic, index endpoint_count, index proxy_count, index level,
+                double part) {
+    if (level == 0)
+        return true;
+    const double min_endpoints = std::max(min_subset_size, min_endpoints_per_in_flight * traffic.in_flight);
+    return share_at(proxy_count, level) >= min_proxies_per_endpoint * part &&
+           share_at(endpoint_count, level) >= min_endpoints * part;
+}
 
 } // namespace
 
-double request_cost(const subset_costs &given, const traffic_sample &seen, index servers, index peers,
-                    index level) {
+double request_cost(const subset_costs &costs, const traffic_sample &traffic, index endpoint_count,
+                    index proxy_count, index level) {
     const double parts = std::exp2(static_cast<double>(level));
-    const double dials =
-        std::exp(-given.idle_timeout * seen.attempt_rate * parts / std::max<double>(1, servers));
-    const auto places = [&](index at) { return std::min<double>(std::exp2(static_cast<double>(at)), peers); };
-    const double more = places(level) / places(seen.observed_level) * seen.origin_fetch_share;
-    const double fetches = more > 0 ? more / (more + 1 - seen.origin_fetch_share) : 0;
-    return given.connection_cost * dials + (given.origin_fetch_cost + seen.origin_fetch_loss) * fetches;
+    const double new_connections =
+        std::exp(-costs.idle_timeout * traffic.attempt_rate * parts / std::max<double>(1, endpoint_count));
+    const auto copies = [&](index at) {
+        return std::min<double>(std::exp2(static_cast<double>(at)), proxy_count);
+    };
+    const double scaled = copies(level) / copies(traffic.observed_level) * traffic.origin_fetch_share;
+    const double fetches = scaled > 0 ? scaled / (scaled + 1 - traffic.origin_fetch_share) : 0;
+    return costs.connection_cost * new_connections +
+           (costs.origin_fetch_cost + traffic.origin_fetch_loss) * fetches;
 }
 
-index best_level(const subset_costs &given, const traffic_sample &seen, index servers, index peers,
-                 index now) {
-    const auto left = [](double all, index level) { return all / std::exp2(static_cast<double>(level)); };
-    // Whether enough proxies use each server, and each proxy enough servers; a part of that may do.
+index best_level(const subset_costs &costs, const traffic_sample &traffic, index endpoint_count,
+                 index proxy_count, index current_level) {
+    const auto cost = [&](index level) {
+        return request_cost(costs, traffic, endpoint_count, proxy_count, level);
+    };
     const auto enough = [&](index level, double part) {
-        return level == 0 ||
-               (left(peers, level) >= least_users * part &&
-                left(servers, level) >= std::max(least_width, least_spread * seen.in_flight) * part);
+        return has_enough(traffic, endpoint_count, proxy_count, level, part);
     };
+    const double worthwhile = min_gain * costs.connection_cost;
     index best = 0;
-    // Each narrower level has to be worth it over the best so far, as a wide one is the safer.
+    // A narrower level has to be worth it over the best so far, as a wide one is the safer choice.
     for (index level = 1; level <= max_subset_level && enough(level, 1); ++level)
-        if (request_cost(given, seen, servers, peers, best) -
-                request_cost(given, seen, servers, peers, level) >
-            worth_a_move * given.connection_cost)
+        if (cost(best) - cost(level) > worthwhile)
             best = level;
-    const bool holds = enough(now, 0.5);
-    const double gain =
-        request_cost(given, seen, servers, peers, now) - request_cost(given, seen, servers, peers, best);
-    return holds && std::abs(gain) < worth_a_move * given.connection_cost ? now : best;
+    const double gain = cost(current_level) - cost(best);
+    // The current level may stay down to half of the bounds, so that it does not go back and forth.
+    const bool may_stay = enough(current_level, 0.5);
+    return may_stay && std::abs(gain) < worthwhile ? current_level : best;
 }
 
-index initial_level(index servers, index peers) {
+index initial_level(index endpoint_count, index proxy_count) {
     index level = 0;
-    while (level < max_subset_level && servers / std::exp2(level + 1.0) >= first_width &&
-           peers / std::exp2(level + 1.0) >= least_users)
+    while (level < max_subset_level && share_at(endpoint_count, level + 1) >= initial_subset_size &&
+           share_at(proxy_count, level + 1) >= min_proxies_per_endpoint)
         ++level;
     return level;
 }
 
-bool subsetting_never_helps(const router_settings &given) {
-    // Guards an origin that the proxies ask themselves: a miss costs a further execution there, and what the
-    // origin then refuses comes to light more slowly than it does harm.
-    if (given.origin_kind != none)
+bool subsetting_never_helps(const router_settings &settings) {
+    // Where proxies ask the origin themselves, a miss costs a further attempt there, and refusals of the
+    // origin show more slowly than they do harm.
+    if (settings.origin_kind != none)
         return true;
-    return given.proxy_index == none || given.handshake_cost <= 0 || given.upstream_idle_timeout <= 0 ||
-           given.proxy_count < 2 * least_users;
+    return settings.proxy_index == none || settings.handshake_cost <= 0 ||
+           settings.upstream_idle_timeout <= 0 || settings.proxy_count < 2 * min_proxies_per_endpoint;
 }
 
 } // namespace harrierpass::subsets
--- a/src/subsets/traffic_estimator.cpp
+++ b/src/subsets/traffic_estimator.cpp
@@ -7,84 +7,91 @@
 namespace harrierpass::subsets {
 namespace {
 
-constexpr double memory = 8;         // s; a thin proxy's some eighty queries
-constexpr double answer_memory = 64; // answers; as many as tell a share to a tenth or so
-constexpr double few_losses = 16;    // answers; as many say nothing yet of what a fetch loses
+constexpr double rate_time_constant = 8;   // s
+constexpr double min_observed_time = 0.25; // s; a shorter past would make the first rate too high
+constexpr double response_memory = 64;     // responses; they give a share to about a tenth
+constexpr double loss_prior = 16;          // responses; fewer say nothing yet of what a fetch loses
 
 } // namespace
 
-void traffic_estimator::mean::add(double value) {
-    sum += value - sum / answer_memory;
-    weight += 1 - weight / answer_memory;
+void traffic_estimator::recent_mean::add(double value) {
+    sum += value - sum / response_memory;
+    weight += 1 - weight / response_memory;
 }
 
 void traffic_estimator::decay(double now) {
-    const double past = std::max(0.0, now - at_), kept = std::exp(-past / memory);
-    sent_ *= kept;
-    out_seconds_ = out_seconds_ * kept + all_out_ * memory * (1 - kept);
-    at_ = std::max(at_, now);
+    const double elapsed = std::max(0.0, now - decayed_at_);
+    const double kept = std::exp(-elapsed / rate_time_constant);
+    attempts_ *= kept;
+    in_flight_seconds_ = in_flight_seconds_ * kept + total_in_flight_ * rate_time_constant * (1 - kept);
+    decayed_at_ = std::max(decayed_at_, now);
 }
 
-void traffic_estimator::on_request(double now, index query, const request_class &use) {
-    if (started_ < 0)
-        started_ = at_ = now;
-    ++queries_;
-    if (query >= asked_.size())
-        asked_.resize(query + 1);
-    asked_[query] = {now, use.latency_objective, 1 - use.late_value_share, {}};
+void traffic_estimator::on_request(double now, index request, const request_class &class_settings) {
+    if (first_request_at_ < 0)
+        first_request_at_ = decayed_at_ = now;
+    ++request_count_;
+    if (request >= requests_.size())
+        requests_.resize(request + 1);
+    requests_[request] = {now, class_settings.latency_objective, 1 - class_settings.late_value_share, {}};
 }
 
-void traffic_estimator::on_attempt_started(double now, index query, index server) {
+void traffic_estimator::on_attempt_started(double now, index request, index endpoint) {
     decay(now);
-    ++sent_;
-    asked_[query].servers.push_back(server);
-    if (server >= out_.size())
-        out_.resize(server + 1);
-    ++out_[server];
-    ++all_out_;
+    ++attempts_;
+    requests_[request].endpoints.push_back(endpoint);
+    if (endpoint >= in_flight_.size())
+        in_flight_.resize(endpoint + 1);
+    ++in_flight_[endpoint];
+    ++total_in_flight_;
 }
 
-void traffic_estimator::on_attempt_finished(double now, index query, index execution, bool completed,
+void traffic_estimator::on_attempt_finished(double now, index request, index attempt, bool completed,
                                             bool fetched) {
-    if (query >= asked_.size() || execution >= asked_[query].servers.size() ||
-        asked_[query].servers[execution] == none)
+    if (request >= requests_.size() || attempt >= requests_[request].endpoints.size())
+        return;
+    auto &record = requests_[request];
+    if (record.endpoints[attempt] == none)
         return;
     decay(now);
-    auto &of = asked_[query];
-    --out_[of.servers[execution]];
-    --all_out_;
-    of.servers[execution] = none;
+    --in_flight_[record.endpoints[attempt]];
+    --total_in_flight_;
+    record.endpoints[attempt] = none;
     if (!completed)
         return;
-    fetched_.add(fetched ? 1 : 0);
-    (fetched ? fetched_loss_ : hit_loss_).add(now - of.arrived > of.slo_time ? of.late_loss : 0);
+    fetch_share_.add(fetched ? 1 : 0);
+    const bool is_late = now - record.arrived_at > record.latency_objective;
+    (fetched ? fetch_loss_ : hit_loss_).add(is_late ? record.late_loss : 0);
 }
 
-void traffic_estimator::on_request_released(index query) {
-    for (const index server : asked_[query].servers)
-        if (server != none) {
-            --out_[server];
-            --all_out_;
+void traffic_estimator::on_request_released(index request) {
+    for (const index endpoint : requests_[request].endpoints)
+        if (endpoint != none) {
+            --in_flight_[endpoint];
+            --total_in_flight_;
         }
-    asked_[query].servers.clear();
+    requests_[request].endpoints.clear();
 }
 
 void traffic_estimator::on_level_changed(double now) {
     decay(now);
-    fetched_ = {};
+    fetch_share_ = {};
 }
 
-traffic_sample traffic_estimator::estimate(double time, index level) const {
-    traffic_sample made;
-    // Guards the rate against a short past: the decaying sum has had no time to fill.
-    const double past = std::max(0.0, time - at_), kept = std::exp(-past / memory);
-    const double full = memory * (1 - std::exp(-std::max(0.25, time - started_) / memory));
-    made.attempt_rate = sent_ * kept / full;
-    made.in_flight = (out_seconds_ * kept + all_out_ * memory * (1 - kept)) / full;
-    made.origin_fetch_share = fetched_.value(0);
-    made.origin_fetch_loss = std::max(0.0, fetched_loss_.value(few_losses) - hit_loss_.value(few_losses));
-    made.observed_level = level;
-    return made;
+traffic_sample traffic_estimator::estimate(double now, index level) const {
+    const double elapsed = std::max(0.0, now - decayed_at_);
+    const double kept = std::exp(-elapsed / rate_time_constant);
+    // What the sum of a rate of 1 has reached by now: it fills over the first time constants.
+    const double observed_time = std::max(min_observed_time, now - first_request_at_);
+    const double unit_sum = rate_time_constant * (1 - std::exp(-observed_time / rate_time_constant));
+    traffic_sample sample;
+    sample.attempt_rate = attempts_ * kept / unit_sum;
+    sample.in_flight =
+        (in_flight_seconds_ * kept + total_in_flight_ * rate_time_constant * (1 - kept)) / unit_sum;
+    sample.origin_fetch_share = fetch_share_.value(0);
+    sample.origin_fetch_loss = std::max(0.0, fetch_loss_.value(loss_prior) - hit_loss_.value(loss_prior));
+    sample.observed_level = level;
+    return sample;
 }
 
 } // namespace harrierpass::subsets
--- a/src/subsets/traffic_estimator.hpp
+++ b/src/subsets/traffic_estimator.hpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// What one proxy sees of its own traffic, for the width of its subset. Nothing is sent to anybody.
+// Estimates of one proxy's own traffic, for the size of its subset. No I/O, no clock: times come in, in
+// seconds and in ascending order. Owned by the subset router.
 #pragma once
 
 #include "subsets/subset_size.hpp"
@@ -10,38 +11,55 @@
 
 class traffic_estimator {
 public:
-    void on_request(double now, index query, const request_class &use);
-    void on_attempt_started(double now, index query, index server);
-    void on_attempt_finished(double now, index query, index execution, bool completed, bool fetched);
-    void on_request_released(index query); // released
-
-    // At this level from now on: what was fetched at another is forgotten.
+    // A new request; its index may have been that of one released before.
+    void on_request(double now, index request, const request_class &class_settings);
+    // The next attempt of the request was sent to the endpoint.
+    void on_attempt_started(double now, index request, index endpoint);
+    // `completed`: with a regular response; `fetched`: the origin was asked for it.
+    void on_attempt_finished(double now, index request, index attempt, bool completed, bool fetched);
+    // Nothing more is reported of the request; its attempts in flight no longer count.
+    void on_request_released(index request);
+    // Forgets the share of fetches, which was observed at another level.
     void on_level_changed(double now);
-    bool has_enough_samples() const { return queries_ >= least_queries; }
-    std::uint64_t request_count() const { return queries_; }
-    index in_flight(index server) const { return server < out_.size() ? out_[server] : 0; }
-    traffic_sample estimate(double time, index level) const;
+
+    // Whether there were enough requests for a rate to mean anything.
+    bool has_enough_samples() const { return request_count_ >= min_requests; }
+    // Requests since the start.
+    std::uint64_t request_count() const { return request_count_; }
+    // Attempts in flight at the endpoint.
+    index in_flight(index endpoint) const { return endpoint < in_flight_.size() ? in_flight_[endpoint] : 0; }
+    // The traffic as of `now`; `level` is that of the subset.
+    traffic_sample estimate(double now, index level) const;
 
 private:
-    static constexpr std::uint64_t least_queries = 8; // before them a rate is chance
-    struct mean {                                     // of the latest values, drawn to 0 while they are few
+    static constexpr std::uint64_t min_requests = 8;
+
+    // Mean of the latest values, drawn towards 0 while they are few.
+    struct recent_mean {
         double sum = 0, weight = 0;
+        // Adds a value and lets the earlier ones fade.
         void add(double value);
+        // `prior`: how many zeros the values are averaged with.
         double value(double prior) const { return weight > 0 ? sum / (weight + prior) : 0; }
     };
-    struct asked {
-        double arrived = 0, slo_time = 1, late_loss = 0;
-        std::vector<index> servers; // by execution; `none`: over
+    struct request_record {
+        double arrived_at = 0;        // s
+        double latency_objective = 1; // s
+        double late_loss = 0;         // share of the value lost by a late response
+        std::vector<index> endpoints; // by attempt; `none` once it has finished
     };
+
+    // Lets the sums fade up to `now`.
     void decay(double now);
 
-    std::vector<asked> asked_; // by query
-    std::vector<index> out_;   // executions in flight, by server
-    index all_out_ = 0;
-    double started_ = -1, at_ = 0;      // s; the first query, the last decay
-    double sent_ = 0, out_seconds_ = 0; // executions and execution-seconds of late, decaying
-    std::uint64_t queries_ = 0;
-    mean fetched_, fetched_loss_, hit_loss_;
+    std::vector<request_record> requests_;        // by request index
+    std::vector<index> in_flight_;                // attempts, by endpoint
+    index total_in_flight_ = 0;                   // attempts at all endpoints
+    double first_request_at_ = -1;                // s; negative before the first request
+    double decayed_at_ = 0;                       // s
+    double attempts_ = 0, in_flight_seconds_ = 0; // decaying sums
+    std::uint64_t request_count_ = 0;
+    recent_mean fetch_share_, fetch_loss_, hit_loss_;
 };
 
 } // namespace harrierpass::subsets
