--- a/src/discovery/endpoint_snapshot.cpp
+++ b/src/discovery/endpoint_snapshot.cpp
@@ -12,19 +12,24 @@
 namespace harrierpass::discovery {
 namespace {
 
-// One line of head, `MAGIC VERSION LENGTH CHECKSUM`, then so many bytes: a line each for name, address and
-// time, and the list.
+// The format: a header line `MAGIC VERSION LENGTH CHECKSUM`, then LENGTH bytes of body: a line each for the
+// proxy's name, the discovery address and the time, and the endpoints.
 constexpr std::string_view magic = "harrierpass-snapshot";
 constexpr std::string_view version = "1";
-constexpr std::size_t longest_head = 128; // bytes
-constexpr std::array names = {"none", "torn", "version", "damaged", "foreign", "old"};
+constexpr std::size_t max_header_size = 128; // bytes
+constexpr std::array log_names = {"none",    "torn",    "version",
+                                  "damaged", "foreign", "old"}; // by snapshot_fault
 
-// Up to a border, which is taken off with it; empty where there is none.
-std::string_view cut(std::string_view &from, char border) {
-    const auto at = from.find(border);
-    const auto part = at == std::string_view::npos ? std::string_view{} : from.substr(0, at);
-    from.remove_prefix(at == std::string_view::npos ? from.size() : at + 1);
-    return part;
+// Takes the field up to a delimiter off the text, with the delimiter; empty where there is none.
+std::string_view take_field(std::string_view &text, char delimiter) {
+    const auto end = text.find(delimiter);
+    if (end == std::string_view::npos) {
+        text.remove_prefix(text.size());
+        return {};
+    }
+    const auto field = text.substr(0, end);
+    text.remove_prefix(end + 1);
+    return field;
 }
 
 std::string checksum(std::string_view body) {
@@ -33,55 +38,74 @@
     return text.str();
 }
 
+// The body's fields. Throws parse_error.
+endpoint_snapshot parse_body(std::string_view body) {
+    endpoint_snapshot snapshot;
+    snapshot.proxy_name = take_field(body, '\n');
+    snapshot.discovery_address = take_field(body, '\n');
+    snapshot.written_at = parse_number<double>(take_field(body, '\n'), "no time");
+    snapshot.endpoints = body;
+    return snapshot;
+}
+
+// The fault of a text's form, checked in the order of its fields; fills `snapshot` where there is none.
+snapshot_fault parse_snapshot(std::string_view text, endpoint_snapshot &snapshot) {
+    const std::size_t header_size = text.find('\n');
+    std::string_view header = text.substr(0, std::min(header_size, max_header_size));
+    if (header.size() == text.size() || header.size() == max_header_size)
+        return snapshot_fault::truncated;
+    if (take_field(header, ' ') != magic)
+        return snapshot_fault::truncated;
+    if (take_field(header, ' ') != version)
+        return snapshot_fault::unknown_version;
+    const std::string_view body = text.substr(header_size + 1);
+    try {
+        if (parse_number<std::size_t>(take_field(header, ' '), "no length") != body.size())
+            return snapshot_fault::truncated;
+        if (header != checksum(body))
+            return snapshot_fault::checksum_mismatch;
+        snapshot = parse_body(body);
+    } catch (const parse_error &) {
+        return snapshot_fault::checksum_mismatch;
+    }
+    return snapshot_fault::none;
+}
+
+snapshot_read_result rejected(snapshot_fault fault) {
+    snapshot_read_result result;
+    result.fault = fault;
+    return result;
+}
+
 } // namespace
 
-const char *name_of(snapshot_fault of) {
-    return names[static_cast<std::size_t>(of)];
+const char *name_of(snapshot_fault fault) {
+    return log_names[static_cast<std::size_t>(fault)];
 }
 
-std::string to_text(const endpoint_snapshot &from) {
-    std::ostringstream body;
-    body << from.proxy_name << '\n'
-         << from.discovery_address << '\n'
-         << std::setprecision(17) << from.written_at << '\n'
-         << from.endpoints;
-    const std::string text = body.str();
-    std::ostringstream whole;
-    whole << magic << ' ' << version << ' ' << text.size() << ' ' << checksum(text) << '\n' << text;
-    return whole.str();
+std::string to_text(const endpoint_snapshot &snapshot) {
+    std::ostringstream fields;
+    fields << snapshot.proxy_name << '\n'
+           << snapshot.discovery_address << '\n'
+           << std::setprecision(17) << snapshot.written_at << '\n'
+           << snapshot.endpoints;
+    const std::string body = fields.str();
+    std::ostringstream text;
+    text << magic << ' ' << version << ' ' << body.size() << ' ' << checksum(body) << '\n' << body;
+    return text.str();
 }
 
-snapshot_read_result read_snapshot(std::string_view text, const endpoint_snapshot &here, double now,
-                                   double most_age) {
-    snapshot_read_result made;
-    const auto refused = [&](snapshot_fault why) {
-        made = {};
-        made.fault = why;
-        return made;
-    };
-    std::string_view head = text.substr(0, std::min(text.find('\n'), longest_head));
-    if (head.size() == text.size() || head.size() == longest_head || cut(head, ' ') != magic)
-        return refused(snapshot_fault::truncated);
-    std::string_view body = text.substr(text.find('\n') + 1);
-    if (cut(head, ' ') != version)
-        return refused(snapshot_fault::unknown_version);
-    try {
-        if (parse_number<std::size_t>(cut(head, ' '), "no length") != body.size())
-            return refused(snapshot_fault::truncated);
-        if (head != checksum(body))
-            return refused(snapshot_fault::checksum_mismatch);
-        made.snapshot.proxy_name = cut(body, '\n');
-        made.snapshot.discovery_address = cut(body, '\n');
-        made.snapshot.written_at = parse_number<double>(cut(body, '\n'), "no time");
-        made.snapshot.endpoints = body;
-    } catch (const parse_error &) {
-        return refused(snapshot_fault::checksum_mismatch);
-    }
-    if (made.snapshot.proxy_name != here.proxy_name ||
-        made.snapshot.discovery_address != here.discovery_address)
-        return refused(snapshot_fault::other_source);
-    made.age = std::max(0.0, now - made.snapshot.written_at);
-    return made.age > most_age ? refused(snapshot_fault::expired) : made;
+snapshot_read_result read_snapshot(std::string_view text, const endpoint_snapshot &reader, double now,
+                                   double max_age) {
+    snapshot_read_result result;
+    const snapshot_fault fault = parse_snapshot(text, result.snapshot);
+    if (fault != snapshot_fault::none)
+        return rejected(fault);
+    if (result.snapshot.proxy_name != reader.proxy_name ||
+        result.snapshot.discovery_address != reader.discovery_address)
+        return rejected(snapshot_fault::other_source);
+    result.age = std::max(0.0, now - result.snapshot.written_at);
+    return result.age > max_age ? rejected(snapshot_fault::expired) : result;
 }
 
 } // namespace harrierpass::discovery
--- a/src/discovery/endpoint_snapshot.hpp
+++ b/src/discovery/endpoint_snapshot.hpp
@@ -1,7 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-// The list of servers as a proxy last had it, kept over its end: a text with a version and a checksum. No
-// I/O. It is whole or refused by name; nothing of a damaged one is used. What it says is as good as a `known`
-// list: the list service's own word follows at once, and none of it counts as told.
+// The endpoint list as a proxy last had it, kept across restarts as a text with a version and a checksum. A
+// snapshot that was read counts as a cached one: the discovery service's own list follows at once, and
+// changes in it do not count as notified. No I/O.
+//
+// Invariant: a text is used as a whole or rejected with a reason; nothing of a damaged one is used.
 #pragma once
 
 #include <cstdint>
@@ -10,32 +12,40 @@
 
 namespace harrierpass::discovery {
 
+// What is kept.
 struct endpoint_snapshot {
-    std::string proxy_name;        // the proxy's
-    std::string discovery_address; // the address of the list service that it is from
+    std::string proxy_name;        // of the proxy that wrote it
+    std::string discovery_address; // of the discovery service that the list is from
     double written_at = 0;         // Unix time, s
-    std::string endpoints;         // in discovery's form, JSON
+    std::string endpoints;         // JSON, in the discovery service's format
 };
 
+// Why a text is rejected.
 enum class snapshot_fault : std::uint8_t {
     none,
-    truncated,         // not as long as it says, or no snapshot at all
-    unknown_version,   // of another form than this program writes
-    checksum_mismatch, // its checksum is not that of its text
-    other_source,      // of another proxy, or from another list service
-    expired            // older than may be
+    truncated,         // shorter or longer than its header says, or no snapshot at all
+    unknown_version,   // of another format version
+    checksum_mismatch, // the checksum is not that of the text, or a field is malformed
+    other_source,      // of another proxy, or from another discovery service
+    expired            // older than allowed
 };
-const char *name_of(snapshot_fault of); // as in logs
 
+// The name as in logs.
+const char *name_of(snapshot_fault fault);
+
+// The outcome of reading.
 struct snapshot_read_result {
     snapshot_fault fault = snapshot_fault::none;
     endpoint_snapshot snapshot; // only where there is no fault
-    double age = 0;             // s; 0 where the clock has gone back since
+    double age = 0;             // s; 0 where the clock was set back since
 };
 
-std::string to_text(const endpoint_snapshot &from);
-// `here`: name and discovery of who reads. Never throws but for want of memory.
-snapshot_read_result read_snapshot(std::string_view text, const endpoint_snapshot &here, double now,
-                                   double most_age);
+// The text to keep.
+std::string to_text(const endpoint_snapshot &snapshot);
+
+// Reads a kept text. `reader` has the name and the discovery address of the proxy that reads; `now` is Unix
+// time and `max_age` seconds. Throws nothing but std::bad_alloc.
+snapshot_read_result read_snapshot(std::string_view text, const endpoint_snapshot &reader, double now,
+                                   double max_age);
 
 } // namespace harrierpass::discovery
--- a/src/discovery/poll_intervals.cpp
+++ b/src/discovery/poll_intervals.cpp
@@ -6,39 +6,47 @@
 namespace harrierpass::discovery {
 namespace {
 
-constexpr double first_load = 5;  // times what it can do that the service is asked for at first: most of a
-                                  // tier has a list and only watches, and who is refused is told when to come
-constexpr double least_gap = 0.5; // s; one proxy alone may ask twice a second for a while
-constexpr double usual_ask_in = 30;   // s, where no limit is told
-constexpr double wait_share = 0.7;    // of the time in which one must ask, for a watch to wait ...
-constexpr double answer_share = 0.3;  // ... and for its answer; both together are the whole
-constexpr double longest_wait = 20;   // s; a connection that is cut off unseen is found out after this
-constexpr double longest_answer = 5;  // s; a service that needs more has lost the call
-constexpr double least_breath = 0.15; // s; within 0.2 s the next call goes on with the same watch (protocol)
-constexpr double most_breath = 1;     // s; half of what a drain is commonly given
-constexpr double watch_load = 20; // watches opened in the time of a whole list; all end at once with a change
+// Of the service's capacity, as a multiple, that first polls may take: most of a fleet has a list and only
+// watches, and who is rejected is told when to retry.
+constexpr double initial_overload = 5;
+constexpr double min_backoff = 0.5;            // s
+constexpr double default_poll_interval = 30;   // s, also the longest
+constexpr double watch_share = 0.7;            // of the poll interval, for a watch to wait
+constexpr double response_share = 0.3;         // of the poll interval, for the response
+constexpr double max_watch_timeout = 20;       // s; a connection that was cut silently is noticed after this
+constexpr double max_response_timeout = 5;     // s
+constexpr double min_watch_delay_limit = 0.15; // s; within 0.2 s the protocol continues the same watch
+constexpr double max_watch_delay_limit = 1;    // s; half of what a drain is commonly given
+constexpr double watches_per_snapshot = 20;    // watches that the service opens in the time of a snapshot
+
+// With an agent beside the proxy only the timeouts count.
+poll_intervals agent_intervals(const poll_settings &settings) {
+    poll_intervals intervals;
+    intervals.watch_timeout = settings.agent_watch_timeout;
+    intervals.response_timeout = settings.agent_response_timeout;
+    return intervals;
+}
 
 } // namespace
 
-poll_intervals compute_poll_intervals(const poll_settings &given) {
-    poll_intervals made;
-    if (given.service == list_service_kind::agent) {
-        made.watch_timeout = given.agent_watch_timeout;
-        made.response_timeout = given.agent_response_timeout;
-        return made;
-    }
-    const double ask_in =
-        given.max_poll_interval > 0 ? std::min(given.max_poll_interval, usual_ask_in) : usual_ask_in;
-    const double whole =
-        given.proxy_count / given.snapshots_per_second; // s of the service's work for a list to everybody
-    made.watch_timeout = std::min(longest_wait, ask_in * wait_share);
-    made.response_timeout = std::min(longest_answer, ask_in * answer_share);
-    made.initial_poll_window = std::min(whole / first_load, ask_in / 2);
-    made.rejected_poll_window = whole;
-    made.min_backoff = std::max(least_gap, made.initial_poll_window);
-    made.max_backoff = std::max(made.min_backoff, ask_in);
-    made.max_watch_delay = std::clamp(whole / watch_load, least_breath, most_breath);
-    return made;
+poll_intervals compute_poll_intervals(const poll_settings &settings) {
+    if (settings.service == list_service_kind::agent)
+        return agent_intervals(settings);
+    const double poll_interval = settings.max_poll_interval > 0
+                                     ? std::min(settings.max_poll_interval, default_poll_interval)
+                                     : default_poll_interval;
+    // s of the service's work for a snapshot to every proxy.
+    const double fleet_snapshot_time = settings.proxy_count / settings.snapshots_per_second;
+    poll_intervals intervals;
+    intervals.watch_timeout = std::min(max_watch_timeout, poll_interval * watch_share);
+    intervals.response_timeout = std::min(max_response_timeout, poll_interval * response_share);
+    intervals.initial_poll_window = std::min(fleet_snapshot_time / initial_overload, poll_interval / 2);
+    intervals.rejected_poll_window = fleet_snapshot_time;
+    intervals.min_backoff = std::max(min_backoff, intervals.initial_poll_window);
+    intervals.max_backoff = std::max(intervals.min_backoff, poll_interval);
+    intervals.max_watch_delay =
+        std::clamp(fleet_snapshot_time / watches_per_snapshot, min_watch_delay_limit, max_watch_delay_limit);
+    return intervals;
 }
 
 } // namespace harrierpass::discovery
--- a/src/discovery/poll_intervals.hpp
+++ b/src/discovery/poll_intervals.hpp
@@ -1,38 +1,41 @@
 // SPDX-License-Identifier: Apache-2.0
-// How a tier of proxies spreads its calls over the list service: times that follow from the tier's size, from
-// what the service can do, and from how long a drain may go unheard. No I/O. Times are seconds.
+// How a fleet of proxies spreads its polls over the discovery service: intervals that follow from the fleet's
+// size, from what the service can do, and from how long a drain may go unnoticed. Pure functions; times are
+// in seconds.
 #pragma once
 
 #include "router/types.hpp"
 
 namespace harrierpass::discovery {
 
+// Who answers polls.
 enum class list_service_kind : std::uint8_t {
-    agent, // one beside each proxy, at no cost: what it has counts as told, so nothing is spread or doubted
+    agent, // one beside each proxy, free to ask: its polls are neither spread nor are its lists doubted
     shared // one service for all proxies
 };
 
-// What a deployment tells (docs/cold-start.md).
+// What a deployment configures (docs/cold-start.md).
 struct poll_settings {
     list_service_kind service = list_service_kind::agent;
-    index proxy_count = 1;             // proxies in all
-    double snapshots_per_second = 20;  // whole lists that the service makes in a second
-    double max_poll_interval = 0;      // s without asking after which the list counts as told; 0: not told
+    index proxy_count = 1;             // of the whole fleet
+    double snapshots_per_second = 20;  // that the service can make
+    double max_poll_interval = 0;      // s without a poll after which changes count as notified; 0: not known
     double agent_watch_timeout = 1;    // s that a watch of an agent waits
-    double agent_response_timeout = 1; // s for an agent to answer beside that
+    double agent_response_timeout = 1; // s for an agent's response beyond that
 };
 
+// When to poll; all in seconds.
 struct poll_intervals {
-    double initial_poll_window = 0; // s after a start over which the tier's first calls are spread
-    double rejected_poll_window =
-        0;                    // s over which those are spread that were refused, beyond what they were told
-    double min_backoff = 0;   // s; a loss is followed by a call within this, then twice it, ...
-    double max_backoff = 0;   // ... at most this
-    double watch_timeout = 1; // s that a watch waits at the service
-    double response_timeout = 1; // s for an answer beside that
-    double max_watch_delay = 0;  // s between an answer and the next watch, at most
+    double initial_poll_window = 0;  // after a start, over which the fleet's first polls are spread
+    double rejected_poll_window = 0; // over which rejected polls are spread, beyond their Retry-After
+    double min_backoff = 0;          // a first failure is followed by a poll within this, ...
+    double max_backoff = 0;          // ... further ones within twice the last, up to this
+    double watch_timeout = 1;        // that a watch waits at the service
+    double response_timeout = 1;     // for the response beyond that
+    double max_watch_delay = 0;      // between a response and the next watch
 };
 
-poll_intervals compute_poll_intervals(const poll_settings &given);
+// The intervals for a deployment.
+poll_intervals compute_poll_intervals(const poll_settings &settings);
 
 } // namespace harrierpass::discovery
--- a/src/discovery/poll_schedule.cpp
+++ b/src/discovery/poll_schedule.cpp
@@ -10,101 +10,118 @@
 namespace {
 
 constexpr double never = std::numeric_limits<double>::infinity();
-constexpr double growth = 1.5;        // of the window, with each refusal
-constexpr double most_come_back = 60; // s that a service's word is kept; beyond, a unit was taken for another
-constexpr double call_rate = 1;       // calls a second that a proxy makes in the long run, ...
-constexpr double call_burst = 20;     // ... and at once; a list that changes all the time is read in steps
-constexpr double least_of_wait =
-    0.8; // of a watch's wait, by chance: guards against watches that end together
-constexpr std::array names = {"empty", "known", "current", "doubtful"};
+constexpr double rejected_window_growth = 1.5; // with each rejection
+constexpr double backoff_growth = 2;           // with each failure
+constexpr double max_retry_after = 60;         // s; a longer advice is taken for another unit
+constexpr double poll_rate = 1;                // tokens a second of the poll budget
+constexpr double poll_burst = 20;              // tokens; a list that changes all the time is read in steps
+constexpr double min_watch_share = 0.8; // of watch_timeout; random, so that watches do not end together
+constexpr unsigned long long discarded_draws = 8; // the first of nearby seeds are alike
+constexpr std::array log_names = {"empty", "known", "current", "doubtful"}; // by poll_state
 
 } // namespace
 
-const char *name_of(poll_state of) {
-    return names[static_cast<std::size_t>(of)];
+const char *name_of(poll_state state) {
+    return log_names[static_cast<std::size_t>(state)];
 }
 
-poll_schedule::poll_schedule(const poll_settings &given, std::uint32_t seed, double now,
-                             std::optional<std::uint64_t> known)
-    : service_kind_(given.service), intervals_(compute_poll_intervals(given)), random_(seed == 0 ? 1 : seed),
-      tokens_(call_burst), tokens_updated_at_(now) {
-    random_.discard(8);
-    if (known && !is_agent()) {
+poll_schedule::poll_schedule(const poll_settings &settings, std::uint32_t seed, double now,
+                             std::optional<std::uint64_t> cached_revision)
+    : service_kind_(settings.service), intervals_(compute_poll_intervals(settings)),
+      random_(seed == 0 ? 1 : seed), tokens_(poll_burst), tokens_updated_at_(now) {
+    random_.discard(discarded_draws);
+    if (cached_revision && !is_agent()) {
         state_ = poll_state::cached_endpoints;
-        revision_ = *known;
+        revision_ = *cached_revision;
     }
+    reset_delays();
+    schedule_poll(now, intervals_.initial_poll_window * random_fraction());
+}
+
+void poll_schedule::reset_delays() {
     backoff_ = intervals_.min_backoff;
     rejected_window_ = intervals_.rejected_poll_window;
-    schedule_poll(now, intervals_.initial_poll_window * random_fraction());
 }
 
 double poll_schedule::random_fraction() {
-    return (static_cast<double>(random_()) - 1) / 2147483646.0;
+    constexpr double range = std::minstd_rand::max() - std::minstd_rand::min() + 1.0;
+    return (static_cast<double>(random_()) - 1) / range;
 }
 
 double poll_schedule::available_tokens(double now) const {
-    return std::min(call_burst, tokens_ + (now - tokens_updated_at_) * call_rate);
+    return std::min(poll_burst, tokens_ + (now - tokens_updated_at_) * poll_rate);
+}
+
+void poll_schedule::refill_tokens(double now) {
+    tokens_ = available_tokens(now);
+    tokens_updated_at_ = now;
 }
 
-// Guards the service against one proxy: beyond a burst, calls come at the long run's rate.
 void poll_schedule::schedule_poll(double now, double delay) {
     next_poll_at_ = now + delay;
     if (is_agent())
         return;
-    tokens_ = available_tokens(now);
-    tokens_updated_at_ = now;
+    refill_tokens(now);
     if (tokens_ < 1)
-        next_poll_at_ = std::max(next_poll_at_, now + (1 - tokens_) / call_rate);
+        next_poll_at_ = std::max(next_poll_at_, now + (1 - tokens_) / poll_rate);
 }
 
 endpoint_poll poll_schedule::start_poll(double now) {
-    next_poll_at_ = never; // one call out at a time
-    if (!is_agent()) {
-        tokens_ = available_tokens(now) - 1;
-        tokens_updated_at_ = now;
-        if (state_ == poll_state::no_endpoints || state_ == poll_state::awaiting_confirmation)
-            return {std::nullopt, 0, intervals_.response_timeout};
-        const double wait =
-            intervals_.watch_timeout * (least_of_wait + (1 - least_of_wait) * random_fraction());
-        return {revision_, wait, wait + intervals_.response_timeout};
+    next_poll_at_ = never;
+    const endpoint_poll snapshot_poll{std::nullopt, 0, intervals_.response_timeout};
+    if (is_agent()) {
+        if (state_ != poll_state::current)
+            return snapshot_poll;
+        return {revision_, intervals_.watch_timeout, intervals_.watch_timeout + intervals_.response_timeout};
     }
-    if (state_ != poll_state::current)
-        return {std::nullopt, 0, intervals_.response_timeout};
-    return {revision_, intervals_.watch_timeout, intervals_.watch_timeout + intervals_.response_timeout};
+    refill_tokens(now);
+    --tokens_;
+    if (state_ == poll_state::no_endpoints || state_ == poll_state::awaiting_confirmation)
+        return snapshot_poll;
+    const double watch_timeout =
+        intervals_.watch_timeout * (min_watch_share + (1 - min_watch_share) * random_fraction());
+    return {revision_, watch_timeout, watch_timeout + intervals_.response_timeout};
 }
 
-bool poll_schedule::on_update(double now, const snapshot_facts &what) {
-    backoff_ = intervals_.min_backoff;
-    rejected_window_ = intervals_.rejected_poll_window;
-    const snapshot_doubt before = std::exchange(
-        doubt_, is_agent() || state_ == poll_state::no_endpoints ? snapshot_doubt::none : assess(what));
-    if (doubt_ != snapshot_doubt::none) {
-        // An answer to a watch that is older than what it was asked from tells that a whole list is owed.
-        const bool again = before == doubt_ && what.is_snapshot && what.revision >= doubted_revision_;
-        confirmations_ = what.is_snapshot ? (again ? confirmations_ + 1 : 1) : 0;
-        doubted_revision_ = what.revision;
-        if (confirmations_ < confirmations_needed(doubt_)) {
-            state_ = poll_state::awaiting_confirmation;
-            schedule_poll(now, intervals_.initial_poll_window * random_fraction());
-            return false;
-        }
+bool poll_schedule::on_update(double now, const snapshot_facts &facts) {
+    reset_delays();
+    const bool is_trusted = is_agent() || state_ == poll_state::no_endpoints;
+    const snapshot_doubt previous_doubt =
+        std::exchange(doubt_, is_trusted ? snapshot_doubt::none : assess(facts));
+    if (doubt_ != snapshot_doubt::none && !confirm(previous_doubt, facts)) {
+        state_ = poll_state::awaiting_confirmation;
+        schedule_poll(now, intervals_.initial_poll_window * random_fraction());
+        return false;
     }
     state_ = poll_state::current;
     confirmations_ = 0;
-    revision_ = what.revision;
+    revision_ = facts.revision;
     schedule_poll(now, intervals_.max_watch_delay * random_fraction());
     return true;
 }
 
-void poll_schedule::on_rejected(double now, double come_back) {
+bool poll_schedule::confirm(snapshot_doubt previous_doubt, const snapshot_facts &facts) {
+    const bool is_repeated =
+        previous_doubt == doubt_ && facts.is_snapshot && facts.revision >= doubted_revision_;
+    // Only snapshots confirm: a watch's response with an older revision means that a snapshot is due.
+    if (!facts.is_snapshot)
+        confirmations_ = 0;
+    else
+        confirmations_ = is_repeated ? confirmations_ + 1 : 1;
+    doubted_revision_ = facts.revision;
+    return confirmations_ >= confirmations_needed(doubt_);
+}
+
+void poll_schedule::on_rejected(double now, double retry_after) {
     if (is_agent())
         return on_failure(now);
-    // One that has a list must hear of drains; one that has none sends to nobody.
+    // With a list the window is limited, as a proxy that serves has to hear of drains.
     const double window = state_ == poll_state::no_endpoints
                               ? rejected_window_
                               : std::min(rejected_window_, intervals_.max_backoff);
-    schedule_poll(now, std::clamp(come_back, 0.0, most_come_back) + window * random_fraction());
-    rejected_window_ = std::min(rejected_window_ * growth, std::max(rejected_window_, most_come_back));
+    schedule_poll(now, std::clamp(retry_after, 0.0, max_retry_after) + window * random_fraction());
+    rejected_window_ =
+        std::min(rejected_window_ * rejected_window_growth, std::max(rejected_window_, max_retry_after));
 }
 
 void poll_schedule::on_failure(double now) {
@@ -114,7 +131,7 @@
         return;
     }
     schedule_poll(now, backoff_ * random_fraction());
-    backoff_ = std::min(backoff_ * 2, intervals_.max_backoff);
+    backoff_ = std::min(backoff_ * backoff_growth, intervals_.max_backoff);
 }
 
 void poll_schedule::request_poll(double now) {
@@ -122,11 +139,10 @@
         next_poll_at_ = now;
 }
 
-void poll_schedule::on_settings_changed(double now, const poll_settings &given) {
-    service_kind_ = given.service;
-    intervals_ = compute_poll_intervals(given);
-    backoff_ = intervals_.min_backoff;
-    rejected_window_ = intervals_.rejected_poll_window;
+void poll_schedule::on_settings_changed(double now, const poll_settings &settings) {
+    service_kind_ = settings.service;
+    intervals_ = compute_poll_intervals(settings);
+    reset_delays();
     state_ = poll_state::no_endpoints;
     confirmations_ = 0;
     doubt_ = snapshot_doubt::none;
--- a/src/discovery/poll_schedule.hpp
+++ b/src/discovery/poll_schedule.hpp
@@ -1,31 +1,30 @@
 // SPDX-License-Identifier: Apache-2.0
-// When a proxy calls the list service, what it asks for, and what it does with the answer. No I/O: who
-// carries it out asks due(), makes the call that begin() says, and reports what came of it. One call is out
-// at a time.
+// When a proxy polls the discovery service, what it asks for, and what it does with the response. No I/O, no
+// clock: the owner waits until next_poll_at(), makes the poll that start_poll() returns, and reports how it
+// ended. Times are seconds. One poll is in flight at a time. Owned by the discovery client.
 //
-// state     input                    next      effect
-// empty     start                    empty     the whole list, by chance within the first window
-// known     start                    known     a watch from its revision, by chance within the first window;
+// state                 event                  next                   effect
+// no_endpoints          start                  no_endpoints           snapshot, at random in the first window
+// cached_endpoints      start                  cached_endpoints       watch from the cached revision, at
+// random
+//                                                                     in the first window; the proxy serves
+// any                   plausible response     current                used; the next watch after a short
+// delay any                   response in doubt      awaiting_confirmation  set aside; snapshot, at random in
 // the
-//                                              proxy serves meanwhile
-// any       an answer believed       current   taken; the next watch after a breath
-// any       a list in doubt          doubtful  what stands goes on; the whole list is asked for, by chance
-// within
-//                                              the first window
-// doubtful  as many more alike       current   taken
-// doubtful  another answer           by that   the doubt is forgotten
-// any       refused                  as it is  not before it was told, and then by chance within a window
-// that
-//                                              grows with each refusal
-// any       lost                     as it is  by chance within a gap that doubles up to a cap; with a list,
-// a
-//                                              watch from its revision
-// any       another service          empty     the whole list at once, and nothing is doubted until it has
-// come
+//                                                                     first window
+// awaiting_confirmation enough equal responses current                used
+// awaiting_confirmation another response       by that response       the doubt is dropped
+// any                   rejected               unchanged              not before Retry-After, then at random
+// in
+//                                                                     a window that grows with each rejection
+// any                   failed                 unchanged              at random in a backoff that doubles up
+// to
+//                                                                     a limit; with a list, a watch
+// any                   another service        no_endpoints           snapshot at once; nothing is in doubt
+//                                                                     until it has come
 //
-// With an agent beside the proxy nothing is spread or doubted: the first call is made at once and for the
-// whole list, the next watch follows each answer, and after a loss the router says when to ask again
-// (asked()).
+// With an agent beside the proxy nothing is spread or doubted: the first poll is a snapshot and made at once,
+// the next watch follows each response, and after a failure the router says when to poll (request_poll()).
 #pragma once
 
 #include "discovery/poll_intervals.hpp"
@@ -36,39 +35,61 @@
 
 namespace harrierpass::discovery {
 
+// What a proxy has of the endpoint list.
 enum class poll_state : std::uint8_t { no_endpoints, cached_endpoints, current, awaiting_confirmation };
-const char *name_of(poll_state of);
 
+// The name as in logs and metrics.
+const char *name_of(poll_state state);
+
+// One poll to make.
 struct endpoint_poll {
-    std::optional<std::uint64_t> watch_revision; // a watch from this revision on; none: the whole list
-    double watch_timeout = 0;                    // s that the service may hold it
-    double timeout = 0;                          // s until it counts as lost, the wait included
+    std::optional<std::uint64_t> watch_revision; // watch for changes from this revision on; none: a snapshot
+    double watch_timeout = 0;                    // s that the service may hold the poll
+    double timeout = 0;                          // s until it counts as failed, watch_timeout included
 };
 
 class poll_schedule {
 public:
-    // `known`: the revision of the list that the proxy starts with, if it has one.
-    poll_schedule(const poll_settings &given, std::uint32_t seed, double now,
-                  std::optional<std::uint64_t> known);
+    // `cached_revision`: of the list that the proxy starts with, if it has one.
+    poll_schedule(const poll_settings &settings, std::uint32_t seed, double now,
+                  std::optional<std::uint64_t> cached_revision);
+
+    // When the next poll is due; infinity while one is in flight or an agent waits for request_poll().
+    double next_poll_at() const { return next_poll_at_; }
+    // The poll that is due, from now on in flight.
+    endpoint_poll start_poll(double now);
 
-    double next_poll_at() const { return next_poll_at_; } // infinity: not before asked()
-    endpoint_poll start_poll(double now);                 // the call that is due
-    bool on_update(double now,
-                   const snapshot_facts &what);     // true: believed, to be taken; else it stands aside
-    void on_rejected(double now, double come_back); // s; 0: not told
+    // The poll was answered with a list. Returns whether it is to be used; else it is set aside.
+    bool on_update(double now, const snapshot_facts &facts);
+    // The poll was rejected for now; `retry_after` in s, 0 where not told.
+    void on_rejected(double now, double retry_after);
+    // The poll failed.
     void on_failure(double now);
-    void request_poll(double now); // the router's wish; only an agent's calls wait for it
-    void on_settings_changed(double now, const poll_settings &given);
+    // The router asks for a poll; only an agent's polls wait for it.
+    void request_poll(double now);
+    // Another deployment: the schedule starts over.
+    void on_settings_changed(double now, const poll_settings &settings);
 
     poll_state state() const { return state_; }
-    snapshot_doubt latest_doubt() const { return doubt_; } // of the latest answer
+    // The doubt that the latest response raised.
+    snapshot_doubt latest_doubt() const { return doubt_; }
+    // The revision of the list in use.
     std::uint64_t revision() const { return revision_; }
     const poll_intervals &intervals() const { return intervals_; }
 
 private:
-    double random_fraction(); // by chance, in [0, 1)
+    // A random number from 0 to 1.
+    double random_fraction();
+    // Sets the next poll, not before the poll budget allows it.
     void schedule_poll(double now, double delay);
-    double available_tokens(double now) const; // the calls that may still be made, by then
+    // The poll budget's tokens at this time.
+    double available_tokens(double now) const;
+    // Takes the tokens that have come by now into account.
+    void refill_tokens(double now);
+    // Counts equal responses in doubt; returns whether this one is confirmed.
+    bool confirm(snapshot_doubt previous_doubt, const snapshot_facts &facts);
+    // Back to the first backoff and the first window of rejected polls.
+    void reset_delays();
     bool is_agent() const { return service_kind_ == list_service_kind::agent; }
 
     list_service_kind service_kind_;
@@ -76,10 +97,11 @@
     std::minstd_rand random_;
     poll_state state_ = poll_state::no_endpoints;
     snapshot_doubt doubt_ = snapshot_doubt::none;
-    index confirmations_ = 0; // answers in the same doubt, one after the other
+    index confirmations_ = 0; // equal responses in doubt, in a row
     std::uint64_t revision_ = 0, doubted_revision_ = 0;
-    double next_poll_at_ = 0, backoff_ = 0, rejected_window_ = 0;
-    double tokens_ = 0, tokens_updated_at_ = 0; // calls that may still be made; when that was counted
+    double next_poll_at_ = 0;
+    double backoff_ = 0, rejected_window_ = 0;  // s
+    double tokens_ = 0, tokens_updated_at_ = 0; // the poll budget, a token bucket
 };
 
 } // namespace harrierpass::discovery
--- a/src/discovery/snapshot_plausibility.cpp
+++ b/src/discovery/snapshot_plausibility.cpp
@@ -6,34 +6,38 @@
 namespace harrierpass::discovery {
 namespace {
 
-constexpr std::size_t few = 4;       // servers; fewer may well be replaced all at once
-constexpr std::size_t most_lost = 2; // a list that names under one in so many of the known is far shorter
-constexpr index alike = 2;           // answers
-constexpr index alike_empty = 3;     // answers; an empty list serves nobody, so believing it cannot help
-constexpr std::array names = {"no", "empty", "shrunk", "foreign", "older"};
+constexpr std::size_t min_known_endpoints = 4; // fewer may well be replaced all at once
+constexpr std::size_t max_missing_factor = 2; // a list with less than one in so many of the known is in doubt
+constexpr index usual_confirmations = 2;
+constexpr index empty_confirmations = 3; // believing an empty list stops all traffic
+constexpr std::array log_names = {"no", "empty", "shrunk", "foreign", "older"}; // by snapshot_doubt
 
 } // namespace
 
-snapshot_doubt assess(const snapshot_facts &of) {
-    if (of.revision < of.known_revision)
+snapshot_doubt assess(const snapshot_facts &facts) {
+    if (facts.revision < facts.known_revision)
         return snapshot_doubt::outdated;
-    if (!of.is_snapshot || of.known_endpoints == 0)
+    if (!facts.is_snapshot || facts.known_endpoints == 0)
         return snapshot_doubt::none;
-    if (of.named_endpoints == 0)
+    if (facts.named_endpoints == 0)
         return snapshot_doubt::empty;
-    if (of.common_endpoints == 0 && of.known_endpoints >= few)
+    if (facts.known_endpoints < min_known_endpoints)
+        return snapshot_doubt::none;
+    if (facts.common_endpoints == 0)
         return snapshot_doubt::unrelated;
-    return of.known_endpoints >= few && of.common_endpoints * most_lost < of.known_endpoints
-               ? snapshot_doubt::mostly_missing
-               : snapshot_doubt::none;
+    if (facts.common_endpoints * max_missing_factor < facts.known_endpoints)
+        return snapshot_doubt::mostly_missing;
+    return snapshot_doubt::none;
 }
 
-index confirmations_needed(snapshot_doubt of) {
-    return of == snapshot_doubt::none ? 1 : of == snapshot_doubt::empty ? alike_empty : alike;
+index confirmations_needed(snapshot_doubt doubt) {
+    if (doubt == snapshot_doubt::none)
+        return 1;
+    return doubt == snapshot_doubt::empty ? empty_confirmations : usual_confirmations;
 }
 
-const char *name_of(snapshot_doubt of) {
-    return names[static_cast<std::size_t>(of)];
+const char *name_of(snapshot_doubt doubt) {
+    return log_names[static_cast<std::size_t>(doubt)];
 }
 
 } // namespace harrierpass::discovery
--- a/src/discovery/snapshot_plausibility.hpp
+++ b/src/discovery/snapshot_plausibility.hpp
@@ -1,7 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
-// Whether a list is believed. One answer alone never empties the ring: a list that is empty, leaves out most
-// of what was known, knows none of it, or is older than what was had before, stands aside until the service
-// has said the same again. What cannot be read at all never comes here.
+// Whether an endpoint list is plausible beside the one known before it. A list in doubt is set aside until
+// the discovery service has repeated it often enough. Malformed lists are rejected before they get here. Pure
+// functions.
+//
+// Invariant: a single response never empties the ring. A snapshot that is empty, leaves out most of the known
+// endpoints or all of them, and any response with an older revision, is in doubt.
 #pragma once
 
 #include "router/types.hpp"
@@ -11,19 +14,25 @@
 
 namespace harrierpass::discovery {
 
+// Why a list is in doubt.
 enum class snapshot_doubt : std::uint8_t { none, empty, mostly_missing, unrelated, outdated };
 
-// An answer beside what was known before it.
+// A response beside what was known before it.
 struct snapshot_facts {
-    bool is_snapshot = false;
+    bool is_snapshot = false; // else changes since a revision
     std::uint64_t revision = 0, known_revision = 0;
-    std::size_t known_endpoints = 0;  // servers in use or draining, as known before
-    std::size_t named_endpoints = 0;  // servers that it names, those gone left out
-    std::size_t common_endpoints = 0; // of the known ones, that it names in any way
+    std::size_t known_endpoints = 0;  // ready or draining, before the response
+    std::size_t named_endpoints = 0;  // in the response, those removed left out
+    std::size_t common_endpoints = 0; // known ones that the response names in any state
 };
 
-snapshot_doubt assess(const snapshot_facts &of);
-index confirmations_needed(snapshot_doubt of); // alike, before it is believed
-const char *name_of(snapshot_doubt of);        // as in logs
+// The doubt that a response raises.
+snapshot_doubt assess(const snapshot_facts &facts);
+
+// How many equal responses in a row it takes to believe one in this doubt; 1 without a doubt.
+index confirmations_needed(snapshot_doubt doubt);
+
+// The name as in logs.
+const char *name_of(snapshot_doubt doubt);
 
 } // namespace harrierpass::discovery
