--- /dev/null
+++ b/src/settings/field_reader.cpp
@@ -0,0 +1,90 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "settings/field_reader.hpp"
+
+#include <sstream>
+
+namespace harrierpass {
+
+using std::string_view;
+
+namespace {
+
+constexpr double milliseconds_per_second = 1000;
+constexpr double max_count = 65536; // more of anything than a deployment has
+
+} // namespace
+
+string_view field_reader::text(const std::string &path) const {
+    const auto found = values_.find(path);
+    return found == values_.end() ? string_view{} : string_view(found->second);
+}
+
+bool field_reader::flag(const std::string &path) const {
+    const string_view value = text(path);
+    return value == "true" || value == "1";
+}
+
+double field_reader::number(const std::string &path, double absent) const {
+    const string_view value = text(path);
+    if (value.empty() || value == "-")
+        return absent;
+    return parse_number<double>(value, ("settings." + path + " is no number").c_str());
+}
+
+double field_reader::seconds(const std::string &path, double absent) const {
+    return number(path, absent * milliseconds_per_second) / milliseconds_per_second;
+}
+
+index field_reader::count(const std::string &path, index absent) const {
+    if (text(path).empty())
+        return absent;
+    const double value = number(path, absent);
+    if (value > max_count)
+        throw parse_error{"a count is too large"};
+    return value < 0 ? none : static_cast<index>(value);
+}
+
+double field_reader::number_within(const std::string &path, double absent, double minimum,
+                                   double maximum) const {
+    const double value = number(path, absent);
+    if (value < minimum || value > maximum) {
+        std::ostringstream message;
+        message << "settings." << path << " is " << value << ", not from " << minimum << " to " << maximum;
+        throw parse_error{message.str()};
+    }
+    return value;
+}
+
+double field_reader::seconds_within(const std::string &path, double absent, double minimum,
+                                    double maximum) const {
+    return number_within(path, absent * milliseconds_per_second, minimum * milliseconds_per_second,
+                         maximum * milliseconds_per_second) /
+           milliseconds_per_second;
+}
+
+string_view field_reader::choice(const std::string &path, std::initializer_list<string_view> allowed) const {
+    const string_view value = text(path);
+    if (!value.empty() && std::ranges::find(allowed, value) == allowed.end())
+        reject_choice(path, value);
+    return value;
+}
+
+void field_reader::reject_choice(const std::string &path, string_view value) {
+    throw parse_error{"settings." + path + " is '" + std::string(value) + "', which is not known"};
+}
+
+field_reader read_fields(string_view text) {
+    field_reader fields;
+    while (!text.empty()) {
+        const auto space = text.find(' ');
+        const string_view pair = text.substr(0, space);
+        const auto equals = pair.find('=');
+        if (equals == string_view::npos)
+            throw parse_error{"a setting without '='"};
+        fields.set(std::string(pair.substr(0, equals)), pair.substr(equals + 1));
+        text = space == string_view::npos ? string_view{} : text.substr(space + 1);
+    }
+    return fields;
+}
+
+} // namespace harrierpass
