--- a/src/settings/settings_reader.cpp
+++ b/src/settings/settings_reader.cpp
@@ -18,20 +18,20 @@
 constexpr double max_event_batch_interval = 1;  // s
 constexpr double min_latency_objective = 0.001; // s; 0 would make every response late
 
-// The words of the settings' format for our kinds.
-constexpr std::array<std::pair<string_view, effect_kind>, 3> effect_words = {
+// The names that the settings' format has for our kinds.
+constexpr std::array<std::pair<string_view, effect_kind>, 3> effect_setting_names = {
     {{"idempotent", effect_kind::idempotent},
      {"deduplicated", effect_kind::deduplicated},
      {"at_most_once", effect_kind::non_idempotent}}};
-constexpr std::array<std::pair<string_view, deduplication_scope>, 3> scope_words = {
+constexpr std::array<std::pair<string_view, deduplication_scope>, 3> scope_setting_names = {
     {{"all", deduplication_scope::all},
      {"zone", deduplication_scope::zone},
      {"cell", deduplication_scope::cell}}};
 
 request_class read_request_class(const field_reader &fields, const std::string &prefix) {
     request_class result;
-    result.effect = fields.kind(prefix + "effect", effect_words, effect_kind::non_idempotent);
-    result.scope = fields.kind(prefix + "group", scope_words, deduplication_scope::cell);
+    result.effect = fields.kind(prefix + "effect", effect_setting_names, effect_kind::non_idempotent);
+    result.scope = fields.kind(prefix + "group", scope_setting_names, deduplication_scope::cell);
     result.deduplication_window = fields.seconds_within(prefix + "windowMs", 0, 0, max_duration);
     result.latency_objective =
         std::max(min_latency_objective, fields.seconds_within(prefix + "sloTimeMs", 1, 0, max_duration));
--- /dev/null
+++ b/src/simulator_adapter/main.cpp
@@ -0,0 +1,11 @@
+// SPDX-License-Identifier: Apache-2.0
+// The simulator's router: reads messages from the standard input, writes decisions to the standard output.
+#include "simulator_adapter/adapter.hpp"
+
+#include <iostream>
+
+int main() {
+    std::ios::sync_with_stdio(false);
+    std::cin.tie(nullptr);
+    return harrierpass::simulator_adapter::adapter(std::cin, stdout, std::cerr).run();
+}
