--- a/src/net/buffer_pool.cpp
+++ b/src/net/buffer_pool.cpp
@@ -4,33 +4,33 @@
 namespace harrierpass {
 namespace {
 
-constexpr std::size_t most_at_rest = 128; // buffers; 9 MiB, what a busy proxy uses at a time
+constexpr std::size_t max_idle_buffers = 128; // 9 MiB
 
 } // namespace
 
 buffer_pool::buffer_handle buffer_pool::acquire() {
     {
         const std::lock_guard hold(lock_);
-        if (!free_.empty()) {
-            buffer_handle taken(free_.back().release(), buffer_deleter{this});
-            free_.pop_back();
-            return taken;
+        if (!idle_.empty()) {
+            buffer_handle buffer(idle_.back().release(), buffer_deleter{this});
+            idle_.pop_back();
+            return buffer;
         }
-        free_.reserve(most_at_rest); // put() must not fail
+        idle_.reserve(max_idle_buffers);
     }
     return buffer_handle(new char[buffer_size], buffer_deleter{this});
 }
 
 void buffer_pool::release(char *buffer) noexcept {
-    std::unique_ptr<char[]> back(buffer);
+    std::unique_ptr<char[]> returned(buffer);
     const std::lock_guard hold(lock_);
-    if (free_.size() < most_at_rest)
-        free_.push_back(std::move(back));
+    if (idle_.size() < max_idle_buffers)
+        idle_.push_back(std::move(returned));
 }
 
 std::size_t buffer_pool::idle_count() const {
     const std::lock_guard hold(lock_);
-    return free_.size();
+    return idle_.size();
 }
 
 } // namespace harrierpass
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -11,9 +11,10 @@
 
 using std::string_view;
 
-constexpr std::size_t most_fields = 64;    // fields; the protocol's heads have about ten
-constexpr std::size_t line_limit = 1024;   // bytes of a chunk's size line, with its extensions
-constexpr std::size_t waste_limit = 65536; // bytes of trailers
+constexpr std::size_t max_fields = 64;          // the protocol's heads have about ten
+constexpr std::size_t max_chunk_line = 1024;    // bytes, with the chunk's extensions
+constexpr std::size_t max_trailer_size = 65536; // bytes
+constexpr std::size_t max_length_digits = 15;   // of a body's or a chunk's size; they fit into 64 bits
 
 bool is_token(string_view text) {
     return !text.empty() && std::all_of(text.begin(), text.end(), [](char one) {
@@ -38,18 +39,18 @@
     return one >= 'A' && one <= 'Z' ? static_cast<char>(one + 32) : one;
 }
 
-// Calls `what` with each part of a list that is separated by commas.
-template <typename What> void each_part(string_view text, What what) {
+// Calls `visit` with each item of a comma-separated list.
+template <typename Visit> void for_each_item(string_view text, Visit visit) {
     while (!text.empty()) {
         const auto comma = text.find(',');
-        what(trim(text.substr(0, comma)));
+        visit(trim(text.substr(0, comma)));
         text = comma == string_view::npos ? string_view{} : text.substr(comma + 1);
     }
 }
 
-bool names(string_view list, string_view name) {
+bool list_contains(string_view list, string_view name) {
     bool found = false;
-    each_part(list, [&](string_view part) { found = found || equals_ignoring_case(part, name); });
+    for_each_item(list, [&](string_view item) { found = found || equals_ignoring_case(item, name); });
     return found;
 }
 
@@ -80,159 +81,185 @@
 
 bool http_head::keeps_alive() const {
     return minor >= 1 && std::none_of(fields.begin(), fields.end(), [](const http_field &each) {
-               return equals_ignoring_case(each.name, "Connection") && names(each.value, "close");
+               return equals_ignoring_case(each.name, "Connection") && list_contains(each.value, "close");
            });
 }
 
-http_reader::http_reader(std::span<char> buffer, message_kind which, std::size_t filled)
-    : buffer_(buffer), side_(which), filled_(filled) {}
+http_reader::http_reader(std::span<char> buffer, message_kind kind, std::size_t filled)
+    : buffer_(buffer), kind_(kind), filled_(filled) {}
 
 http_reader::state http_reader::received(std::size_t count) {
     filled_ += count;
     for (;;) {
-        switch (at_) {
-        case stage::head:
-            if (const state now = read_head(); at_ == stage::head)
+        switch (step_) {
+        case parse_step::head:
+            if (const state now = read_head(); step_ == parse_step::head)
                 return now;
             break;
-        case stage::counted: {
-            const std::size_t here = std::min(left_, filled_ - taken_);
-            body_size_ += here;
-            taken_ += here;
-            left_ -= here;
-            if (left_ > 0)
-                return wait_for_more();
-            at_ = stage::done;
+        case parse_step::sized_body:
+            if (const state now = read_sized_body(); step_ != parse_step::done)
+                return now;
             break;
-        }
-        case stage::to_end:
-            taken_ = filled_;
-            body_size_ = taken_ - body_from_;
-            return most_ > 0 && beyond(0) ? state::too_large : wait_for_more();
-        case stage::done:
+        case parse_step::body_to_close:
+            return read_body_to_close();
+        case parse_step::done:
             return state::complete;
         default:
-            if (const state now = read_chunks(); at_ != stage::done)
+            if (const state now = read_chunks(); step_ != parse_step::done)
                 return now;
         }
     }
 }
 
+std::size_t http_reader::take_remaining() {
+    const std::size_t available = std::min(remaining_, filled_ - consumed_);
+    body_size_ += available;
+    consumed_ += available;
+    remaining_ -= available;
+    return available;
+}
+
+http_reader::state http_reader::read_sized_body() {
+    take_remaining();
+    if (remaining_ > 0)
+        return wait_for_more();
+    step_ = parse_step::done;
+    return state::complete;
+}
+
+http_reader::state http_reader::read_body_to_close() {
+    consumed_ = filled_;
+    body_size_ = consumed_ - body_start_;
+    return stream_limit_ > 0 && exceeds_limit(0) ? state::too_large : wait_for_more();
+}
+
 http_reader::state http_reader::wait_for_more() const {
-    return !free_space().empty()         ? state::incomplete
-           : most_ > 0 && body_size_ > 0 ? state::window_full
-                                         : state::too_large;
+    if (!free_space().empty())
+        return state::incomplete;
+    return stream_limit_ > 0 && body_size_ > 0 ? state::window_full : state::too_large;
 }
 
-bool http_reader::beyond(std::size_t size) const {
-    const std::size_t there = released_ + body_size_;
-    return most_ > 0 ? size > most_ || there > most_ - size : size > buffer_.size() - body_from_ - body_size_;
+bool http_reader::exceeds_limit(std::size_t size) const {
+    if (stream_limit_ == 0)
+        return size > buffer_.size() - body_start_ - body_size_;
+    const std::size_t received_size = released_size_ + body_size_;
+    return size > stream_limit_ || received_size > stream_limit_ - size;
 }
 
 void http_reader::release() {
-    std::memmove(buffer_.data() + body_from_, buffer_.data() + taken_, filled_ - taken_);
-    filled_ -= taken_ - body_from_;
-    taken_ = body_from_;
-    released_ += std::exchange(body_size_, 0);
+    std::memmove(buffer_.data() + body_start_, buffer_.data() + consumed_, filled_ - consumed_);
+    filled_ -= consumed_ - body_start_;
+    consumed_ = body_start_;
+    released_size_ += std::exchange(body_size_, 0);
 }
 
 std::optional<std::size_t> http_reader::content_length() const {
-    const bool told = at_ != stage::head && head_.header_count("Content-Length") > 0;
-    return told ? std::optional(total_) : std::nullopt;
+    const bool is_known = step_ != parse_step::head && head_.header_count("Content-Length") > 0;
+    return is_known ? std::optional(content_length_) : std::nullopt;
 }
 
 http_reader::state http_reader::on_peer_closed() {
-    if (at_ != stage::to_end)
+    if (step_ != parse_step::body_to_close)
         return state::truncated;
-    at_ = stage::done;
+    step_ = parse_step::done;
     return state::complete;
 }
 
 http_reader::state http_reader::read_head() {
     for (;;) {
-        const string_view text(buffer_.data() + taken_, filled_ - taken_);
+        const string_view text(buffer_.data() + consumed_, filled_ - consumed_);
         const auto end = text.substr(0, max_head_size).find("\r\n\r\n");
         // An empty line ahead of a request is skipped: some clients send one behind a body.
-        if (side_ == message_kind::request && text.starts_with("\r\n")) {
-            taken_ += 2;
+        if (kind_ == message_kind::request && text.starts_with("\r\n")) {
+            consumed_ += 2;
             continue;
         }
-        if (side_ == message_kind::request && text == "\r")
+        if (kind_ == message_kind::request && text == "\r")
             return state::incomplete;
-        // Guards against waiting for the end of what can never be a head.
-        if (!may_begin(text))
+        // What can never be a head is refused without waiting for its end.
+        if (!can_start_message(text))
             return state::malformed;
         if (end == string_view::npos) {
-            // What is left of interim answers moves to the front, so that the whole room is the next head's.
+            // What follows interim responses moves to the front, so that the next head has the whole space.
             std::memmove(buffer_.data(), text.data(), text.size());
             filled_ = text.size();
-            taken_ = 0;
+            consumed_ = 0;
             return filled_ >= max_head_size ? state::too_large : state::incomplete;
         }
         if (!parse_head(text.substr(0, end + 2)))
             return state::malformed;
-        taken_ += end + 4;
-        if (side_ == message_kind::request || head_.status >= 200)
+        consumed_ += end + 4;
+        if (kind_ == message_kind::request || head_.status >= 200)
             break;
-        // An interim answer; the one that counts follows. Guards the small stack: however many there are.
+        // An interim response; the one that counts follows. A loop, as there may be any number.
     }
-    body_from_ = taken_;
-    return frame();
+    body_start_ = consumed_;
+    return begin_body();
 }
 
-// An answer starts with its version, a request with a method, in capitals here.
-bool http_reader::may_begin(string_view text) const {
+// A response starts with its version, a request with a method, in capitals here.
+bool http_reader::can_start_message(string_view text) const {
     static constexpr string_view version = "HTTP/1.";
-    if (side_ == message_kind::response)
+    if (kind_ == message_kind::response)
         return text.substr(0, version.size()) == version.substr(0, text.size());
     return text.empty() || is_token(text.substr(0, 1));
 }
 
-// `text` is one line or more, each with its CRLF. Guards against requests that two readers would take apart
-// differently: bare CR or LF, folded lines, blanks before a colon, lengths told twice.
+// Invariant: nothing is accepted that two readers would split differently, such as bare CR or LF, folded
+// lines, blanks before a colon, or two lengths (request smuggling).
 bool http_reader::parse_head(string_view text) {
     head_ = {};
-    for (bool first = true; !text.empty(); first = false) {
+    for (bool is_first = true; !text.empty(); is_first = false) {
         const auto end = text.find("\r\n");
         const string_view line = text.substr(0, end);
         text.remove_prefix(end + 2);
-        if (first) {
-            if (!parse_first(line))
-                return false;
-            continue;
-        }
-        const auto colon = line.find(':');
-        if (colon == string_view::npos || !is_token(line.substr(0, colon)))
+        const bool is_valid = !is_first                         ? parse_field(line)
+                              : kind_ == message_kind::response ? parse_status_line(line)
+                                                                : parse_request_line(line);
+        if (!is_valid)
             return false;
-        const string_view value = trim(line.substr(colon + 1));
-        if (!is_value(value) || head_.fields.size() == most_fields)
-            return false;
-        head_.fields.push_back({line.substr(0, colon), value});
     }
     return true;
 }
 
-bool http_reader::parse_first(string_view line) {
-    const auto version = [this](string_view text) {
-        if (text != "HTTP/1.1" && text != "HTTP/1.0")
-            return false;
-        head_.minor = text.back() - '0';
-        return true;
-    };
+bool http_reader::parse_field(string_view line) {
+    const auto colon = line.find(':');
+    if (colon == string_view::npos || !is_token(line.substr(0, colon)))
+        return false;
+    const string_view value = trim(line.substr(colon + 1));
+    if (!is_value(value) || head_.fields.size() == max_fields)
+        return false;
+    head_.fields.push_back({line.substr(0, colon), value});
+    return true;
+}
+
+bool http_reader::parse_version(string_view text) {
+    if (text != "HTTP/1.1" && text != "HTTP/1.0")
+        return false;
+    head_.minor = text.back() - '0';
+    return true;
+}
+
+bool http_reader::parse_status_line(string_view line) {
     const auto space = line.find(' ');
-    if (space == string_view::npos)
+    if (space == string_view::npos || !parse_version(line.substr(0, space)))
         return false;
-    if (side_ == message_kind::response) {
-        const string_view after = line.substr(space + 1), code = after.substr(0, 3);
-        return version(line.substr(0, space)) &&
-               (after.size() == 3 || (after.size() > 3 && after[3] == ' ')) && is_value(after) &&
-               code[0] >= '1' && code[0] <= '5' && read_number(code, head_.status);
-    }
-    head_.method = line.substr(0, space);
-    const auto last = line.rfind(' ');
-    if (last == space || !version(line.substr(last + 1)) || !is_token(head_.method))
+    const string_view after_version = line.substr(space + 1), code = after_version.substr(0, 3);
+    const bool has_three_digits =
+        after_version.size() == 3 || (after_version.size() > 3 && after_version[3] == ' ');
+    return has_three_digits && is_value(after_version) && code[0] >= '1' && code[0] <= '5' &&
+           read_number(code, head_.status);
+}
+
+bool http_reader::parse_request_line(string_view line) {
+    const auto first_space = line.find(' ');
+    if (first_space == string_view::npos)
+        return false;
+    head_.method = line.substr(0, first_space);
+    const auto last_space = line.rfind(' ');
+    if (last_space == first_space || !parse_version(line.substr(last_space + 1)) || !is_token(head_.method))
         return false;
-    head_.target = line.substr(space + 1, last - space - 1);
+    head_.target = line.substr(first_space + 1, last_space - first_space - 1);
     // The absolute form, which names the host again.
     static constexpr string_view scheme = "http://";
     if (equals_ignoring_case(head_.target.substr(0, scheme.size()), scheme)) {
@@ -245,14 +272,13 @@
                                                       [](char one) { return one > 0x20 && one < 0x7F; });
 }
 
-// How the body is told apart from what follows it.
-http_reader::state http_reader::frame() {
+http_reader::state http_reader::begin_body() {
     int lengths = 0, codings = 0;
     for (const auto &each : head_.fields) {
         if (equals_ignoring_case(each.name, "Content-Length")) {
             ++lengths;
-            if (each.value.empty() || each.value.size() > 15 || each.value.front() == '-' ||
-                !read_number(each.value, left_))
+            if (each.value.empty() || each.value.size() > max_length_digits || each.value.front() == '-' ||
+                !read_number(each.value, remaining_))
                 return state::malformed;
         } else if (equals_ignoring_case(each.name, "Transfer-Encoding")) {
             ++codings;
@@ -262,83 +288,89 @@
     }
     if (lengths + codings > 1 || (codings > 0 && head_.minor == 0))
         return state::malformed;
-    total_ = left_;
-    const bool bare =
-        side_ == message_kind::response && (bodiless_ || head_.status == 204 || head_.status == 304);
-    if (bare)
-        left_ = 0;
-    if (beyond(left_))
+    content_length_ = remaining_;
+    const bool has_no_body =
+        kind_ == message_kind::response && (expects_no_body_ || head_.status == 204 || head_.status == 304);
+    if (has_no_body)
+        remaining_ = 0;
+    if (exceeds_limit(remaining_))
         return state::too_large;
-    at_ = codings > 0 && !bare                                    ? stage::chunk_size
-          : lengths > 0 || bare || side_ == message_kind::request ? stage::counted
-                                                                  : stage::to_end;
+    step_ = codings > 0 && !has_no_body                                    ? parse_step::chunk_size
+            : lengths > 0 || has_no_body || kind_ == message_kind::request ? parse_step::sized_body
+                                                                           : parse_step::body_to_close;
     return state::incomplete;
 }
 
-// The next line of a chunked body, without its CRLF; false: not there yet.
-bool http_reader::next_line(string_view &line) {
-    const string_view text(buffer_.data() + taken_, filled_ - taken_);
+bool http_reader::take_line(string_view &line) {
+    const string_view text(buffer_.data() + consumed_, filled_ - consumed_);
     const auto end = text.find("\r\n");
     if (end == string_view::npos)
         return false;
     line = text.substr(0, end);
-    taken_ += end + 2;
-    trailer_ += at_ == stage::trailer ? end + 2 : 0;
+    consumed_ += end + 2;
+    trailer_size_ += step_ == parse_step::trailer ? end + 2 : 0;
     return true;
 }
 
 http_reader::state http_reader::read_chunks() {
     string_view line;
     for (;;) {
-        if (trailer_ > waste_limit)
+        if (trailer_size_ > max_trailer_size)
             return state::malformed;
-        if (at_ == stage::chunk) {
-            const std::size_t here = std::min(left_, filled_ - taken_);
-            char *const to = buffer_.data() + body_from_ + body_size_;
-            std::memmove(to, buffer_.data() + taken_, here);
-            body_size_ += here;
-            taken_ += here;
-            left_ -= here;
-            if (left_ > 0)
+        if (step_ == parse_step::chunk) {
+            char *const body_end = buffer_.data() + body_start_ + body_size_;
+            const char *const chunk = buffer_.data() + consumed_;
+            std::memmove(body_end, chunk, take_remaining());
+            if (remaining_ > 0)
                 break;
-            at_ = stage::chunk_end;
-        } else if (!next_line(line)) {
-            if (filled_ - taken_ > line_limit && at_ != stage::trailer)
+            step_ = parse_step::chunk_end;
+        } else if (!take_line(line)) {
+            if (filled_ - consumed_ > max_chunk_line && step_ != parse_step::trailer)
                 return state::malformed;
             break;
-        } else if (at_ == stage::chunk_end) {
+        } else if (step_ == parse_step::chunk_end) {
             if (!line.empty())
                 return state::malformed;
-            at_ = stage::chunk_size;
-        } else if (at_ == stage::chunk_size) {
-            const string_view size = trim(line.substr(0, line.find(';')));
-            if (line.size() > line_limit || size.size() > 15 || !is_value(line) ||
-                !read_number(size, left_, 16))
-                return state::malformed;
-            if (beyond(left_))
-                return state::too_large;
-            at_ = left_ > 0 ? stage::chunk : stage::trailer;
-        } else if (line.empty()) { // the end of the trailer, which nobody here needs
-            at_ = stage::done;
+            step_ = parse_step::chunk_size;
+        } else if (step_ == parse_step::chunk_size) {
+            if (const state begun = begin_chunk(line); begun != state::complete)
+                return begun;
+        } else if (line.empty()) { // the end of the trailers, which are not used
+            step_ = parse_step::done;
             return state::complete;
         }
     }
-    // What is not read yet moves up behind the body, so that the room is the body's.
-    const std::size_t end = body_from_ + body_size_, unread = filled_ - taken_;
-    std::memmove(buffer_.data() + end, buffer_.data() + taken_, unread);
-    taken_ = end;
-    filled_ = end + unread;
+    close_gap();
     return wait_for_more();
 }
 
-bool is_hop_by_hop(const http_head &of, string_view name) {
+http_reader::state http_reader::begin_chunk(string_view line) {
+    constexpr int hexadecimal = 16;
+    const string_view size = trim(line.substr(0, line.find(';')));
+    if (line.size() > max_chunk_line || size.size() > max_length_digits || !is_value(line) ||
+        !read_number(size, remaining_, hexadecimal))
+        return state::malformed;
+    if (exceeds_limit(remaining_))
+        return state::too_large;
+    step_ = remaining_ > 0 ? parse_step::chunk : parse_step::trailer;
+    return state::complete;
+}
+
+void http_reader::close_gap() {
+    const std::size_t body_end = body_start_ + body_size_, unread = filled_ - consumed_;
+    std::memmove(buffer_.data() + body_end, buffer_.data() + consumed_, unread);
+    consumed_ = body_end;
+    filled_ = body_end + unread;
+}
+
+bool is_hop_by_hop(const http_head &head, string_view name) {
     for (const string_view each :
          {"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "TE",
           "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect"})
         if (equals_ignoring_case(name, each))
             return true;
-    return std::any_of(of.fields.begin(), of.fields.end(), [&](const http_field &each) {
-        return equals_ignoring_case(each.name, "Connection") && names(each.value, name);
+    return std::any_of(head.fields.begin(), head.fields.end(), [&](const http_field &each) {
+        return equals_ignoring_case(each.name, "Connection") && list_contains(each.value, name);
     });
 }
 
--- a/src/net/http_call.cpp
+++ b/src/net/http_call.cpp
@@ -7,29 +7,31 @@
 
 namespace harrierpass {
 
-bool http_call(const tcp_socket &with, std::string_view question, http_reader &answer, double limit,
-               const std::function<bool()> &over) {
-    const double end = steady_now() + limit;
-    if (!write_all(with, question, {}, limit))
+bool http_call(const tcp_socket &connection, std::string_view request, http_reader &response, double limit,
+               const std::function<bool()> &canceled) {
+    const double deadline = steady_now() + limit;
+    if (!write_all(connection, request, {}, limit))
         return false;
     auto state = http_reader::state::incomplete;
     while (state == http_reader::state::incomplete) {
-        const double left = end - steady_now();
-        if (left <= 0 || (over && over()))
+        const double left = deadline - steady_now();
+        if (left <= 0 || (canceled && canceled()))
             return false;
-        pollfd in{with.get(), POLLIN, 0};
-        if (wait_on({&in, 1}, over ? std::min(missed_wakeup_limit, left) : left) > 0)
-            state = read_available(answer, with);
+        pollfd readable{connection.get(), POLLIN, 0};
+        if (wait_on({&readable, 1}, canceled ? std::min(missed_wakeup_limit, left) : left) > 0)
+            state = read_available(response, connection);
     }
     return state == http_reader::state::complete;
 }
 
-http_reader::state read_available(http_reader &reader, const tcp_socket &from) {
-    const long got = read_some(from, reader.free_space().data(), reader.free_space().size());
-    return got > 0     ? reader.received(static_cast<std::size_t>(got))
-           : got == 0  ? reader.on_peer_closed()
-           : got == -2 ? http_reader::state::incomplete
-                       : http_reader::state::truncated;
+http_reader::state read_available(http_reader &reader, const tcp_socket &connection) {
+    const std::span<char> space = reader.free_space();
+    const long received = read_some(connection, space.data(), space.size());
+    if (received > 0)
+        return reader.received(static_cast<std::size_t>(received));
+    if (received == 0)
+        return reader.on_peer_closed();
+    return received == read_would_block ? http_reader::state::incomplete : http_reader::state::truncated;
 }
 
 } // namespace harrierpass
--- a/src/net/http_call.hpp
+++ b/src/net/http_call.hpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// One question and its answer on a connection, within a time limit.
+// One HTTP request and its response on a connection, within a time limit. Blocks the calling thread, which
+// has to be one that may wait (threads.hpp).
 #pragma once
 
 #include "net/http.hpp"
@@ -9,11 +10,12 @@
 
 namespace harrierpass {
 
-// True: the whole answer is in the reader. A wait that is called ends where `over` says so.
-bool http_call(const tcp_socket &with, std::string_view question, http_reader &answer, double limit,
-               const std::function<bool()> &over = {});
+// Sends the request and reads the response within `limit` s. Returns whether the reader has all of it. Where
+// `canceled` is given, the call ends early once it returns true; it is asked again after each wake_thread().
+bool http_call(const tcp_socket &connection, std::string_view request, http_reader &response, double limit,
+               const std::function<bool()> &canceled = {});
 
-// What one read from a connection brought the reader: `more` also when nothing was there.
-http_reader::state read_available(http_reader &reader, const tcp_socket &from);
+// Reads once from the connection into the reader; `incomplete` also where nothing was there.
+http_reader::state read_available(http_reader &reader, const tcp_socket &connection);
 
 } // namespace harrierpass
--- a/src/net/sockets.hpp
+++ b/src/net/sockets.hpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// TCP sockets as values. They block; time limits are the socket's own or wait_on()'s.
+// TCP sockets as values. Reads and writes never block; waiting is wait_on()'s (threads.hpp). Where a function
+// returns an empty socket, errno tells why. Times are seconds.
 #pragma once
 
 #include <netinet/in.h>
@@ -10,17 +11,22 @@
 
 namespace harrierpass {
 
+// Owns a socket's descriptor, or none.
 class tcp_socket {
 public:
     tcp_socket() = default;
     explicit tcp_socket(int fd) : fd_(fd) {}
+    tcp_socket(const tcp_socket &) = delete;
+    tcp_socket &operator=(const tcp_socket &) = delete;
     tcp_socket(tcp_socket &&that) noexcept : fd_(std::exchange(that.fd_, -1)) {}
     tcp_socket &operator=(tcp_socket &&that) noexcept {
         std::swap(fd_, that.fd_);
         return *this;
     }
     ~tcp_socket() { close(); }
+    // Closes the descriptor, if there is one.
     void close();
+    // The descriptor; -1 where there is none.
     int get() const { return fd_; }
     explicit operator bool() const { return fd_ >= 0; }
 
@@ -28,6 +34,7 @@
     int fd_ = -1;
 };
 
+// An IP address with a port.
 struct address {
     sockaddr_storage where{};
     socklen_t size = 0;
@@ -35,37 +42,51 @@
 
 // From "127.0.0.1:9000" or "[::1]:9000"; names are not looked up.
 std::optional<address> parse_address(std::string_view text);
+
+// The address as "HOST:PORT", an IPv6 host without its brackets.
 std::string to_text(const address &from);
 
-// Whether a call failed for want of something on this machine (descriptor, buffer, memory, port, route): it
-// says nothing of the other side.
+// Whether a call failed for want of something on this machine (descriptor, buffer, memory, port, route),
+// which says nothing of the other side. `error` is an errno.
 bool is_local_shortage(int error);
 
-// A socket for dial(), made beforehand: a descriptor that nobody else can take. Empty: errno tells why.
+// A socket for a later dial(), which then needs no descriptor.
 tcp_socket socket_for(const address &to);
-// Empty: errno tells why. A connection that is not up within the limit never came up. `by`: see above.
-tcp_socket dial(const address &to, double limit, tcp_socket by = {});
-tcp_socket listen_on(const address &at, bool shared = false); // shared: others of this user may listen, too
-address local_address(const tcp_socket &of);
 
-// Empty when none is waiting or none can be had; errno tells.
-tcp_socket accept_on(const tcp_socket &from, address &peer);
+// Connects within `limit` s; a later connection counts as failed. `prepared`: from socket_for(), or none.
+tcp_socket dial(const address &to, double limit, tcp_socket prepared = {});
+
+// Listens without blocking. `shared`: other processes of this user may listen there, too.
+tcp_socket listen_on(const address &at, bool shared = false);
+
+// The address that the socket is bound to.
+address local_address(const tcp_socket &connection);
+
+// Accepts a connection; empty also where none is waiting.
+tcp_socket accept_on(const tcp_socket &listener, address &peer);
 
-// Writes what there is room for now, the head first, and leaves the rest in them; how much; -1: broken.
-long write_some(const tcp_socket &to, std::string_view &head, std::string_view &body);
-// Writes all of it, or false; `limit` (s) is for the whole.
-bool write_all(const tcp_socket &to, std::string_view head, std::string_view body, double limit);
+// Writes what there is space for now, the head first, and takes it off both. Returns how much; -1: broken.
+long write_some(const tcp_socket &connection, std::string_view &head, std::string_view &body);
 
-// Bytes read; 0: the other side ended; -1: broken; -2: nothing there now.
-long read_some(const tcp_socket &from, char *to, std::size_t size);
+// Writes all of both within `limit` s; returns whether it could.
+bool write_all(const tcp_socket &connection, std::string_view head, std::string_view body, double limit);
 
-// An orderly release, for a connection on which the other side may still read what it was sent: our side
-// ends, and what comes is read and dropped until the other side ends, for `limit` s and `most` bytes. Then it
-// closes. Guards the last bytes on their way: closing over bytes unread is a reset, which destroys them.
-void close_gracefully(tcp_socket &connection, double limit, std::size_t most);
+// What read_some() returns where it reads nothing; 0: the other side closed.
+inline constexpr long read_broken = -1;
+inline constexpr long read_would_block = -2;
+
+// Reads what is there now, up to `size` bytes; returns how much, or one of the above.
+long read_some(const tcp_socket &connection, char *to, std::size_t size);
+
+// Closes a connection on which the other side may still read what it was sent: shuts our side down, and reads
+// and drops what comes until the other side closes, for at most `limit` s and `max_dropped` bytes. Closing
+// over unread bytes would reset the connection, which destroys the bytes on their way.
+void close_gracefully(tcp_socket &connection, double limit, std::size_t max_dropped);
 
 // What waits to be read.
 enum class peek_result { empty, data, closed, reset };
-peek_result peek(const tcp_socket &from);
+
+// Looks without reading.
+peek_result peek(const tcp_socket &connection);
 
 } // namespace harrierpass
--- a/src/net/threads.cpp
+++ b/src/net/threads.cpp
@@ -13,48 +13,55 @@
 namespace harrierpass {
 namespace {
 
-constexpr int call_signal = SIGUSR2;
-constexpr double thread_patience = 2; // s that a thread which the program needs is tried for
-constexpr std::chrono::milliseconds thread_pause{10};
-constexpr std::size_t stack_size = 256UL * 1024; // bytes; of address space, a query touches some 20 KiB
-
-sigset_t every_signal() {
-    sigset_t all;
-    sigfillset(&all);
-    return all;
+constexpr int wake_signal = SIGUSR2;
+constexpr double thread_start_limit = 2; // s, for a thread without which the program cannot run
+constexpr std::chrono::milliseconds thread_start_retry{10};
+constexpr std::size_t stack_size =
+    256UL * 1024; // bytes of address space, of which a request uses some 20 KiB
+
+sigset_t all_signals() {
+    sigset_t signals;
+    sigfillset(&signals);
+    return signals;
 }
 
-// Its delivery is what ends a wait; there is nothing to do in it.
-void on_call(int) {}
+// The delivery alone ends a wait.
+void on_wake_signal(int) {}
 
-void *run(void *given) {
-    const std::unique_ptr<std::function<void()>> body(static_cast<std::function<void()> *>(given));
+void install_wake_signal_handler() {
+    static std::once_flag once;
+    std::call_once(once, [] {
+        struct sigaction handler {};
+        handler.sa_handler = on_wake_signal;
+        sigaction(wake_signal, &handler, nullptr);
+    });
+}
+
+void *run(void *argument) {
+    const std::unique_ptr<std::function<void()>> body(static_cast<std::function<void()> *>(argument));
     (*body)();
     return nullptr;
 }
 
-int start(pthread_t &id, std::function<void()> body, bool detached) {
-    static std::once_flag once;
-    std::call_once(once, [] {
-        struct sigaction how {};
-        how.sa_handler = on_call;
-        sigaction(call_signal, &how, nullptr);
-    });
-    auto given = std::make_unique<std::function<void()>>(std::move(body));
-    pthread_attr_t how;
-    pthread_attr_init(&how);
-    pthread_attr_setstacksize(&how, stack_size);
-    pthread_attr_setdetachstate(&how, detached ? PTHREAD_CREATE_DETACHED : PTHREAD_CREATE_JOINABLE);
-    // Every signal is blocked but inside wait_on(): none can cut a call short elsewhere.
-    const sigset_t all = every_signal();
-    sigset_t before;
-    pthread_sigmask(SIG_SETMASK, &all, &before);
-    const int failed = pthread_create(&id, &how, run, given.get());
-    pthread_sigmask(SIG_SETMASK, &before, nullptr);
-    pthread_attr_destroy(&how);
-    if (failed == 0)
-        static_cast<void>(given.release()); // run() has it
-    return failed;
+// Starts a thread; returns an error number, or 0.
+int start(pthread_t &id, std::function<void()> body, int detach_state) {
+    install_wake_signal_handler();
+    auto argument = std::make_unique<std::function<void()>>(std::move(body));
+    pthread_attr_t attributes;
+    pthread_attr_init(&attributes);
+    pthread_attr_setstacksize(&attributes, stack_size);
+    pthread_attr_setdetachstate(&attributes, detach_state);
+    // The thread inherits a mask that blocks every signal; only wait_on() lets one in, so that no other
+    // system call is interrupted.
+    const sigset_t blocked = all_signals();
+    sigset_t previous;
+    pthread_sigmask(SIG_SETMASK, &blocked, &previous);
+    const int error = pthread_create(&id, &attributes, run, argument.get());
+    pthread_sigmask(SIG_SETMASK, &previous, nullptr);
+    pthread_attr_destroy(&attributes);
+    if (error == 0)
+        static_cast<void>(argument.release()); // run() owns it
+    return error;
 }
 
 } // namespace
@@ -64,37 +71,39 @@
 }
 
 int wait_on(std::span<pollfd> sockets, double seconds) {
-    static const sigset_t but_calls = [] {
-        sigset_t set = every_signal();
-        sigdelset(&set, call_signal);
-        return set;
+    static const sigset_t all_but_wake_signal = [] {
+        sigset_t signals = all_signals();
+        sigdelset(&signals, wake_signal);
+        return signals;
     }();
     seconds = seconds > 0 ? seconds : 0;
-    timespec limit{};
-    limit.tv_sec = static_cast<time_t>(seconds);
-    limit.tv_nsec = static_cast<long>((seconds - static_cast<double>(limit.tv_sec)) * 1e9);
-    return ppoll(sockets.data(), sockets.size(), seconds >= forever ? nullptr : &limit, &but_calls);
+    timespec timeout{};
+    timeout.tv_sec = static_cast<time_t>(seconds);
+    timeout.tv_nsec = static_cast<long>((seconds - static_cast<double>(timeout.tv_sec)) * 1e9);
+    return ppoll(sockets.data(), sockets.size(), seconds >= forever ? nullptr : &timeout,
+                 &all_but_wake_signal);
 }
 
 void wake_thread(pthread_t thread) {
-    pthread_kill(thread, call_signal);
+    pthread_kill(thread, wake_signal);
 }
 
 bool start_detached(std::function<void()> body) {
     pthread_t id;
-    return start(id, std::move(body), true) == 0;
+    return start(id, std::move(body), PTHREAD_CREATE_DETACHED) == 0;
 }
 
-joined_thread::joined_thread(std::function<void()> body) {
-    // Without it there is no proxy, so a want that may pass is waited for.
-    int failed = EAGAIN;
-    for (const double end = steady_now() + thread_patience; failed == EAGAIN && steady_now() < end;) {
-        failed = start(id_, body, false);
-        if (failed == EAGAIN)
-            std::this_thread::sleep_for(thread_pause);
+joined_thread::joined_thread(const std::function<void()> &body) {
+    // Where the system is short of threads for the moment, it is tried again for a while.
+    const double deadline = steady_now() + thread_start_limit;
+    int error = EAGAIN;
+    while (error == EAGAIN && steady_now() < deadline) {
+        error = start(id_, body, PTHREAD_CREATE_JOINABLE);
+        if (error == EAGAIN)
+            std::this_thread::sleep_for(thread_start_retry);
     }
-    if (failed != 0)
-        throw std::system_error(failed, std::generic_category(), "no thread");
+    if (error != 0)
+        throw std::system_error(error, std::generic_category(), "no thread");
 }
 
 joined_thread::~joined_thread() {
--- a/src/net/threads.hpp
+++ b/src/net/threads.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// Threads with small stacks, and the one way in which a thread waits: for sockets, a time, or another
-// thread's call.
+// Threads with small stacks, and the one way in which such a thread waits: for sockets, for a time, or for
+// another thread to wake it. Times are seconds.
 #pragma once
 
 #include <functional>
@@ -11,31 +11,34 @@
 namespace harrierpass {
 
 inline constexpr double forever = 1e9; // s
-// s; the longest wait of a thread that others may call, after which it looks for itself. Guards against a
-// platform where no signal ends a wait: there a decision would be slept through until the socket stirs. Short
-// beside any SLO time, and some microseconds of CPU each.
+
+// The longest wait (s) of a thread that others may wake, after which it looks by itself: on a platform where
+// no signal ends a wait, a wake-up would otherwise be missed until a socket is ready. Short beside any
+// latency objective.
 inline constexpr double missed_wakeup_limit = 0.02;
 
-double steady_now(); // s; goes forward only
+// A clock that only goes forward.
+double steady_now();
 
-// Waits until a socket is ready (how many), the time is over (0) or call() named this thread (-1). A call
-// that came before the wait ends it too, so a decision made just before is never slept through.
-// Only threads started below may wait.
+// Waits until a socket is ready (returns how many), the time is over (0), or wake_thread() named this thread
+// (-1). A wake-up before the wait ends it too, so none is missed. Only for threads started below.
 int wait_on(std::span<pollfd> sockets, double seconds);
 
-// Ends the present or next wait of a thread that is known to be alive.
+// Ends the current or the next wait of a thread, which has to be alive.
 void wake_thread(pthread_t thread);
 
-// Runs on its own until its body returns. False where no thread can be had.
+// Starts a thread that ends with its body. False where no thread can be had.
 bool start_detached(std::function<void()> body);
 
-// A thread that is joined when this goes.
+// A thread that the destructor joins.
 class joined_thread {
 public:
-    explicit joined_thread(std::function<void()> body);
+    // Throws std::system_error where no thread can be had.
+    explicit joined_thread(const std::function<void()> &body);
     ~joined_thread();
     joined_thread(const joined_thread &) = delete;
     joined_thread &operator=(const joined_thread &) = delete;
+    // For wake_thread().
     pthread_t id() const { return id_; }
 
 private:
