--- a/src/base/counters.cpp
+++ b/src/base/counters.cpp
@@ -7,7 +7,8 @@
 namespace harrierpass {
 namespace {
 
-constexpr std::array<std::string_view, static_cast<std::size_t>(counter::total)> names = {
+// The printed names, which dashboards and scripts read; by counter.
+constexpr std::array<std::string_view, static_cast<std::size_t>(counter::total)> printed_names = {
     "queries_taken",
     "queries_malformed",
     "queries_crowded_out",
@@ -48,8 +49,8 @@
 } // namespace
 
 void counters::print(std::ostream &to) const {
-    for (std::size_t i = 0; i < names.size(); ++i)
-        to << "counter " << names[i] << ' ' << of(static_cast<counter>(i)) << '\n';
+    for (std::size_t i = 0; i < printed_names.size(); ++i)
+        to << "counter " << printed_names[i] << ' ' << of(static_cast<counter>(i)) << '\n';
     to << std::flush;
 }
 
--- a/src/base/counters.hpp
+++ b/src/base/counters.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// What the proxy took in, sent and answered since its start.
+// Counts of what the proxy received, sent and answered since its start. Thread-safe.
 #pragma once
 
 #include <array>
@@ -9,7 +9,7 @@
 
 namespace harrierpass {
 
-// In the order in which they are printed; the names stand in counters.cpp.
+// What is counted, in the order in which it is printed. The printed names are fixed (counters.cpp).
 enum class counter : std::uint8_t {
     requests,
     bad_requests,
@@ -47,16 +47,20 @@
     upstream_connects_failed,
     upstream_connections_reused,
     upstream_connections_stale,
-    total
+    total // how many there are
 };
 
+// One number for each counter.
 class counters {
 public:
+    // Counts one more.
     void add(counter which) { at(which).fetch_add(1, std::memory_order_relaxed); }
+    // The count so far.
     std::uint64_t of(counter which) const {
         return values_[static_cast<std::size_t>(which)].load(std::memory_order_relaxed);
     }
-    void print(std::ostream &to) const; // a line each: name and value
+    // Writes a line for each counter: name and value.
+    void print(std::ostream &to) const;
 
 private:
     std::atomic<std::uint64_t> &at(counter which) { return values_[static_cast<std::size_t>(which)]; }
--- a/src/base/json.cpp
+++ b/src/base/json.cpp
@@ -8,164 +8,175 @@
 namespace harrierpass {
 namespace {
 
-constexpr int most_depth = 32; // levels; guards the small stacks, real messages have five
+constexpr int max_depth = 32; // levels, as threads have small stacks; real messages have five
 
-class reader {
+// Takes a value off the text from the left; each function stands for a rule of the grammar.
+class json_parser {
 public:
-    explicit reader(std::string_view text) : left_(text) {}
+    explicit json_parser(std::string_view text) : remaining_(text) {}
 
-    json whole() {
-        json made = value(0);
-        space();
-        if (!left_.empty())
+    json document() {
+        json result = value(0);
+        skip_whitespace();
+        if (!remaining_.empty())
             throw parse_error{"JSON: text after the value"};
-        return made;
+        return result;
     }
 
 private:
-    void space() { left_.remove_prefix(std::min(left_.find_first_not_of(" \t\r\n"), left_.size())); }
-    bool next_is(char one) {
-        space();
-        if (left_.empty() || left_.front() != one)
+    void skip_whitespace() {
+        remaining_.remove_prefix(std::min(remaining_.find_first_not_of(" \t\r\n"), remaining_.size()));
+    }
+    bool take_if(char one) {
+        skip_whitespace();
+        if (remaining_.empty() || remaining_.front() != one)
             return false;
-        left_.remove_prefix(1);
+        remaining_.remove_prefix(1);
         return true;
     }
-    void need(char one, const char *fault) {
-        if (!next_is(one))
+    void expect(char one, const char *fault) {
+        if (!take_if(one))
             throw parse_error{fault};
     }
 
     json value(int depth) {
-        if (depth > most_depth)
+        if (depth > max_depth)
             throw parse_error{"JSON: nested too deep"};
-        space();
-        json made;
-        const char first = left_.empty() ? '\0' : left_.front();
+        skip_whitespace();
+        json result;
+        const char first = remaining_.empty() ? '\0' : remaining_.front();
         if (first == '{') {
-            object(made, depth);
+            object(result, depth);
         } else if (first == '[') {
-            list(made, depth);
+            array(result, depth);
         } else if (first == '"') {
-            made.type = json::kind::string;
-            made.text = string();
+            result.type = json::kind::string;
+            result.text = string();
         } else if (first == '-' || (first >= '0' && first <= '9')) {
-            number(made);
-        } else if (!word(made, "true", json::kind::boolean) && !word(made, "false", json::kind::boolean) &&
-                   !word(made, "null", json::kind::null)) {
+            number(result);
+        } else if (!literal(result, "true", json::kind::boolean) &&
+                   !literal(result, "false", json::kind::boolean) &&
+                   !literal(result, "null", json::kind::null)) {
             throw parse_error{"JSON: no value"};
         }
-        return made;
+        return result;
     }
 
-    bool word(json &made, std::string_view name, json::kind is) {
-        if (!left_.starts_with(name))
+    bool literal(json &result, std::string_view name, json::kind is) {
+        if (!remaining_.starts_with(name))
             return false;
-        left_.remove_prefix(name.size());
-        made.type = is;
-        made.text = name;
+        remaining_.remove_prefix(name.size());
+        result.type = is;
+        result.text = name;
         return true;
     }
 
-    void object(json &made, int depth) {
-        made.type = json::kind::object;
-        left_.remove_prefix(1);
-        if (next_is('}'))
+    void object(json &result, int depth) {
+        result.type = json::kind::object;
+        remaining_.remove_prefix(1);
+        if (take_if('}'))
             return;
         do {
-            space();
-            if (left_.empty() || left_.front() != '"')
+            skip_whitespace();
+            if (remaining_.empty() || remaining_.front() != '"')
                 throw parse_error{"JSON: no name in an object"};
             std::string name = string();
-            if (made.find(name) != nullptr)
+            if (result.find(name) != nullptr)
                 throw parse_error{"JSON: a name twice in an object"};
-            need(':', "JSON: no ':' after a name");
+            expect(':', "JSON: no ':' after a name");
             json one = value(depth + 1);
-            made.members.push_back({std::move(name), std::move(one)});
-        } while (next_is(','));
-        need('}', "JSON: an object without its end");
+            result.members.push_back({std::move(name), std::move(one)});
+        } while (take_if(','));
+        expect('}', "JSON: an object without its end");
     }
 
-    void list(json &made, int depth) {
-        made.type = json::kind::array;
-        left_.remove_prefix(1);
-        if (next_is(']'))
+    void array(json &result, int depth) {
+        result.type = json::kind::array;
+        remaining_.remove_prefix(1);
+        if (take_if(']'))
             return;
         do {
-            made.items.push_back(value(depth + 1));
-        } while (next_is(','));
-        need(']', "JSON: a list without its end");
+            result.items.push_back(value(depth + 1));
+        } while (take_if(','));
+        expect(']', "JSON: a list without its end");
     }
 
     std::size_t digits(std::size_t at) const {
         const std::size_t from = at;
-        while (at < left_.size() && left_[at] >= '0' && left_[at] <= '9')
+        while (at < remaining_.size() && remaining_[at] >= '0' && remaining_[at] <= '9')
             ++at;
         if (at == from)
             throw parse_error{"JSON: a number without digits"};
         return at;
     }
 
-    void number(json &made) {
-        std::size_t at = left_.front() == '-' ? 1 : 0;
+    void number(json &result) {
+        std::size_t at = remaining_.front() == '-' ? 1 : 0;
         const std::size_t first = at;
         at = digits(at);
-        if (left_[first] == '0' && at > first + 1)
+        if (remaining_[first] == '0' && at > first + 1)
             throw parse_error{"JSON: a number with a leading zero"};
-        if (at < left_.size() && left_[at] == '.')
+        if (at < remaining_.size() && remaining_[at] == '.')
             at = digits(at + 1);
-        if (at < left_.size() && (left_[at] == 'e' || left_[at] == 'E')) {
+        if (at < remaining_.size() && (remaining_[at] == 'e' || remaining_[at] == 'E')) {
             ++at;
-            if (at < left_.size() && (left_[at] == '+' || left_[at] == '-'))
+            if (at < remaining_.size() && (remaining_[at] == '+' || remaining_[at] == '-'))
                 ++at;
             at = digits(at);
         }
-        made.type = json::kind::number;
-        made.text = left_.substr(0, at);
-        left_.remove_prefix(at);
+        result.type = json::kind::number;
+        result.text = remaining_.substr(0, at);
+        remaining_.remove_prefix(at);
     }
 
-    std::uint32_t four_hex() {
-        if (left_.size() < 4)
+    std::uint32_t hex_code_unit() {
+        if (remaining_.size() < 4)
             throw parse_error{"JSON: a cut escape"};
         std::uint32_t code = 0;
-        const auto [end, error] = std::from_chars(left_.data(), left_.data() + 4, code, 16);
-        if (error != std::errc{} || end != left_.data() + 4)
+        const auto [end, error] = std::from_chars(remaining_.data(), remaining_.data() + 4, code, 16);
+        if (error != std::errc{} || end != remaining_.data() + 4)
             throw parse_error{"JSON: a bad escape"};
-        left_.remove_prefix(4);
+        remaining_.remove_prefix(4);
         return code;
     }
 
     void escape(std::string &to) {
-        if (left_.empty())
+        if (remaining_.empty())
             throw parse_error{"JSON: a cut escape"};
-        const char one = left_.front();
-        left_.remove_prefix(1);
-        constexpr std::string_view from = "\"\\/bfnrt", meant = "\"\\/\b\f\n\r\t";
-        if (const auto at = from.find(one); at != std::string_view::npos) {
-            to += meant[at];
+        const char one = remaining_.front();
+        remaining_.remove_prefix(1);
+        constexpr std::string_view escapes = "\"\\/bfnrt", characters = "\"\\/\b\f\n\r\t";
+        if (const auto at = escapes.find(one); at != std::string_view::npos) {
+            to += characters[at];
             return;
         }
         if (one != 'u')
             throw parse_error{"JSON: a bad escape"};
-        std::uint32_t code = four_hex();
-        if (code >= 0xD800 && code < 0xDC00) {
-            if (!left_.starts_with("\\u"))
-                throw parse_error{"JSON: half a pair of escapes"};
-            left_.remove_prefix(2);
-            const std::uint32_t low = four_hex();
-            if (low < 0xDC00 || low > 0xDFFF)
-                throw parse_error{"JSON: half a pair of escapes"};
-            code = 0x10000 + ((code - 0xD800) << 10) + (low - 0xDC00);
-        } else if (code >= 0xDC00 && code < 0xE000) {
+        append_utf8(to, escaped_code_point());
+    }
+
+    // The code point after "\\u", which may take a pair of escapes (UTF-16 surrogates).
+    std::uint32_t escaped_code_point() {
+        const std::uint32_t high = hex_code_unit();
+        if (high < 0xD800 || high >= 0xE000)
+            return high;
+        if (high >= 0xDC00 || !remaining_.starts_with("\\u"))
             throw parse_error{"JSON: half a pair of escapes"};
-        }
+        remaining_.remove_prefix(2);
+        const std::uint32_t low = hex_code_unit();
+        if (low < 0xDC00 || low > 0xDFFF)
+            throw parse_error{"JSON: half a pair of escapes"};
+        return 0x10000 + ((high - 0xD800) << 10) + (low - 0xDC00);
+    }
+
+    static void append_utf8(std::string &to, std::uint32_t code) {
         const auto put = [&](std::uint32_t bits) { to += static_cast<char>(bits); };
         if (code < 0x80) {
             put(code);
-        } else if (code < 0x800) {
+            return;
+        }
+        if (code < 0x800) {
             put(0xC0 | code >> 6);
-            put(0x80 | (code & 0x3F));
         } else {
             if (code < 0x10000) {
                 put(0xE0 | code >> 12);
@@ -174,30 +185,30 @@
                 put(0x80 | (code >> 12 & 0x3F));
             }
             put(0x80 | (code >> 6 & 0x3F));
-            put(0x80 | (code & 0x3F));
         }
+        put(0x80 | (code & 0x3F));
     }
 
     std::string string() {
-        left_.remove_prefix(1);
-        std::string made;
+        remaining_.remove_prefix(1);
+        std::string result;
         for (;;) {
-            if (left_.empty())
+            if (remaining_.empty())
                 throw parse_error{"JSON: a text without its end"};
-            const char one = left_.front();
-            left_.remove_prefix(1);
+            const char one = remaining_.front();
+            remaining_.remove_prefix(1);
             if (one == '"')
-                return made;
+                return result;
             if (static_cast<unsigned char>(one) < 0x20)
                 throw parse_error{"JSON: a control character in a text"};
             if (one == '\\')
-                escape(made);
+                escape(result);
             else
-                made += one;
+                result += one;
         }
     }
 
-    std::string_view left_;
+    std::string_view remaining_;
 };
 
 } // namespace
@@ -221,7 +232,7 @@
 }
 
 json read_json(std::string_view text) {
-    return reader(text).whole();
+    return json_parser(text).document();
 }
 
 } // namespace harrierpass
--- a/src/base/text.hpp
+++ b/src/base/text.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Texts that came from outside: numbers read strictly, and the one error for what cannot be used.
+// Texts from outside: a strict parser of numbers, and the error for a text that cannot be used.
 #pragma once
 
 #include <charconv>
@@ -12,22 +12,27 @@
 
 namespace harrierpass {
 
-// A text that cannot be used, and why.
+// A text cannot be used. Copying it never fails.
 struct parse_error : std::exception {
     explicit parse_error(std::string fault)
         : message(std::make_shared<const std::string>(std::move(fault))) {}
     const char *what() const noexcept override { return reason; }
-    std::shared_ptr<const std::string> message; // shared, as copying an exception must not fail
-    const char *reason = message->c_str();
+    std::shared_ptr<const std::string> message; // why; shared by the copies
+    const char *reason = message->c_str();      // the same, as text
 };
 
-template <typename Number> Number parse_number(std::string_view part, const char *fault) {
+// Floating-point numbers are accepted between this and its negative.
+inline constexpr double max_parsed_number = 1e15;
+
+// The number that the whole text is. Throws parse_error with the fault where it is none, or where a
+// floating-point number is out of bounds.
+template <typename Number> Number parse_number(std::string_view text, const char *fault) {
     Number value{};
-    const auto [end, error] = std::from_chars(part.data(), part.data() + part.size(), value);
-    if (error != std::errc{} || end != part.data() + part.size())
+    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
+    if (error != std::errc{} || end != text.data() + text.size())
         throw parse_error{fault};
     if constexpr (std::is_floating_point_v<Number>)
-        if (!(value > -1e15 && value < 1e15))
+        if (!(value > -max_parsed_number && value < max_parsed_number)) // NaN is neither
             throw parse_error{fault};
     return value;
 }
