--- a/src/proxy/request/request_session.cpp
+++ b/src/proxy/request/request_session.cpp
@@ -3,6 +3,7 @@
 
 #include "net/http_call.hpp"
 #include "proxy/client/body_relay.hpp"
+#include "proxy/client/response_writer.hpp"
 #include "proxy/request/protocol.hpp"
 
 #include <algorithm>
@@ -36,11 +37,6 @@
 constexpr double stop_linger = 0.1; // s after a stop's last answer; a third of what is left until the kill
 // A client may read why its long body was turned off.
 constexpr lingering_close upload_linger = {2, longest_body};
-// Answers to a request that a failure of our own ends; whole texts, as there may be no memory.
-constexpr string_view failed_unsent =
-    "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
-constexpr string_view failed_sent =
-    "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
 constexpr index most_refused = 16;     // on a connection; then it ends, as its client does not learn
 constexpr double refuse_pause = 0.005; // s before what follows is read; guards the CPU against the same again
 
@@ -334,7 +330,9 @@
     with_.counts.add(harmless ? counter::rejected : counter::aborted);
     status_ = harmless ? 503 : 502;
     refused_for_ = reason;
-    write_all(from_.socket, harmless ? failed_unsent : failed_sent, {}, write_limit);
+    write_fallback_response(from_.socket,
+                            harmless ? fallback_response::unavailable : fallback_response::bad_gateway,
+                            write_limit);
     from_.lingering = last_linger;
     return reason;
 }
