--- a/src/proxy/client/body_relay.cpp
+++ b/src/proxy/client/body_relay.cpp
@@ -7,70 +7,111 @@
 #include <algorithm>
 #include <array>
 #include <cstdio>
+#include <optional>
+#include <string>
 
 namespace harrierpass::proxy {
 namespace {
 
-// Writes what is there of the body, and the end where it is whole; false: the sink takes no more.
-bool put(const tcp_socket &sink, std::string_view body, framing how, bool &begun, bool whole, double limit) {
-    std::string before;
-    if (how == framing::chunked && !body.empty()) {
-        std::array<char, 24> size{};
-        std::snprintf(size.data(), size.size(), "%s%zx\r\n", begun ? "\r\n" : "", body.size());
-        before = size.data();
-        begun = true;
-    }
-    if (!write_all(sink, before, body, limit))
-        return false;
-    return how != framing::chunked || !whole ||
-           write_all(sink, begun ? "\r\n0\r\n\r\n" : "0\r\n\r\n", {}, limit);
-}
+class body_relay {
+public:
+    body_relay(http_reader &from, const tcp_socket &source, const tcp_socket &sink, framing body_framing,
+               const relay_limits &limits, const std::function<double()> &now,
+               const std::function<bool()> &cancelled)
+        : from_(from), source_(source), sink_(sink), framing_(body_framing), limits_(limits), now_(now),
+          cancelled_(cancelled) {}
 
-} // namespace
+    relay_result run();
+
+private:
+    bool write_window(bool is_last);
+    std::optional<relay_result> wait_for_source();
+    double source_time_left(double waiting_since) const;
 
-relay_result relay_body(http_reader &from, const tcp_socket &source, const tcp_socket &sink, framing how,
-                        const relay_limits &limits, const std::function<double()> &now,
-                        const std::function<bool()> &called) {
-    bool begun = false;
-    double waited = 0; // s in all; only what the source itself took counts against it
-    for (auto state = from.parse_buffered();;) {
-        const bool whole = state == http_reader::state::complete;
-        if (!put(sink, from.body(), how, begun, whole,
-                 std::min(limits.sink_timeout, limits.deadline - now())))
+    http_reader &from_;
+    const tcp_socket &source_;
+    const tcp_socket &sink_;
+    const framing framing_;
+    const relay_limits &limits_;
+    const std::function<double()> &now_;
+    const std::function<bool()> &cancelled_;
+    bool has_chunks_ = false; // a chunk has been written
+    double waited_ = 0;       // s for the source in all; what the sink took does not count against it
+};
+
+relay_result body_relay::run() {
+    for (auto state = from_.parse_buffered();;) {
+        const bool is_last = state == http_reader::state::complete;
+        if (!write_window(is_last))
             return relay_result::sink_broken;
-        from.release();
-        if (whole)
+        from_.release();
+        if (is_last)
             return relay_result::complete;
         if (state == http_reader::state::truncated)
             return relay_result::source_truncated;
         if (state == http_reader::state::malformed || state == http_reader::state::too_large)
             return relay_result::source_malformed;
-        const double since = now();
-        for (;;) {
-            if (called())
-                return relay_result::cancelled;
-            const double pause = now() - since;
-            const double allowed = limits.source_rate > 0
-                                       ? limits.source_timeout +
-                                             static_cast<double>(from.released_bytes()) / limits.source_rate -
-                                             waited
-                                       : limits.source_timeout;
-            const double left = std::min(allowed - pause, limits.deadline - now());
-            if (left <= 0)
-                return relay_result::source_slow;
-            std::array<pollfd, 2> both = {
-                {{source.get(), POLLIN, 0}, {sink.get(), limits.watch_sink ? short{POLLIN} : short{0}, 0}}};
-            if (wait_on(both, std::min(missed_wakeup_limit, left)) <= 0)
-                continue;
-            if (both[1].revents != 0)
-                return limits.watch_sink && (both[1].revents & POLLIN) != 0 ? relay_result::sink_responded
-                                                                            : relay_result::sink_broken;
-            if (both[0].revents != 0)
-                break;
-        }
-        waited += now() - since;
-        state = read_available(from, source);
+        if (const auto ended = wait_for_source())
+            return *ended;
+        state = read_available(from_, source_);
     }
 }
 
+// Writes what is there of the body, and its end where it is whole. False: the sink takes no more.
+bool body_relay::write_window(bool is_last) {
+    const double limit = std::min(limits_.sink_timeout, limits_.deadline - now_());
+    const std::string_view body = from_.body();
+    std::string chunk_head;
+    if (framing_ == framing::chunked && !body.empty()) {
+        std::array<char, 24> text{};
+        std::snprintf(text.data(), text.size(), "%s%zx\r\n", has_chunks_ ? "\r\n" : "", body.size());
+        chunk_head = text.data();
+        has_chunks_ = true;
+    }
+    if (!write_all(sink_, chunk_head, body, limit))
+        return false;
+    if (framing_ != framing::chunked || !is_last)
+        return true;
+    return write_all(sink_, has_chunks_ ? "\r\n0\r\n\r\n" : "0\r\n\r\n", {}, limit);
+}
+
+// Empty: there is something to read from the source.
+std::optional<relay_result> body_relay::wait_for_source() {
+    const double waiting_since = now_();
+    for (;;) {
+        if (cancelled_())
+            return relay_result::cancelled;
+        const double time_left = source_time_left(waiting_since);
+        if (time_left <= 0)
+            return relay_result::source_slow;
+        const short sink_events = limits_.watch_sink ? POLLIN : 0;
+        std::array<pollfd, 2> sockets = {{{source_.get(), POLLIN, 0}, {sink_.get(), sink_events, 0}}};
+        if (wait_on(sockets, std::min(missed_wakeup_limit, time_left)) <= 0)
+            continue;
+        const bool sink_sent = (sockets[1].revents & POLLIN) != 0;
+        if (sockets[1].revents != 0)
+            return limits_.watch_sink && sink_sent ? relay_result::sink_responded : relay_result::sink_broken;
+        if (sockets[0].revents != 0)
+            break;
+    }
+    waited_ += now_() - waiting_since;
+    return std::nullopt;
+}
+
+double body_relay::source_time_left(double waiting_since) const {
+    double allowed = limits_.source_timeout;
+    if (limits_.source_rate > 0)
+        allowed += static_cast<double>(from_.released_bytes()) / limits_.source_rate - waited_;
+    const double waiting = now_() - waiting_since;
+    return std::min(allowed - waiting, limits_.deadline - now_());
+}
+
+} // namespace
+
+relay_result relay_body(http_reader &from, const tcp_socket &source, const tcp_socket &sink,
+                        framing body_framing, const relay_limits &limits, const std::function<double()> &now,
+                        const std::function<bool()> &cancelled) {
+    return body_relay(from, source, sink, body_framing, limits, now, cancelled).run();
+}
+
 } // namespace harrierpass::proxy
