--- /dev/null
+++ b/src/proxy/request/active_request.cpp
@@ -0,0 +1,52 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "proxy/request/active_request.hpp"
+
+#include <algorithm>
+#include <utility>
+
+namespace harrierpass::proxy {
+
+active_request::active_request(proxy_context &shared_context, client_connection &from)
+    : context(shared_context), client(from), guard(shared_context.invariants) {}
+
+double active_request::client_deadline() const {
+    return std::min(deadline, stop_deadline());
+}
+
+void active_request::on_client_left() {
+    client.socket.close();
+    guard.on_client_disconnected();
+    context.counts.add(counter::client_disconnects);
+    context.routing.client_disconnected(handle);
+}
+
+bool active_request::detect_client_left() {
+    pollfd hangup{client.socket.get(), POLLRDHUP, 0};
+    if (client_has_left() || wait_on({&hangup, 1}, 0) <= 0)
+        return false;
+    on_client_left();
+    return true;
+}
+
+bool active_request::may_keep_connection() const {
+    const bool body_is_read = !streams_body || body_forwarded;
+    const bool process_stays = !context.is_closing() && !context.is_disabled() && !context.handed_over;
+    return keep_connection && !client.closes_after_response && process_stays && body_is_read;
+}
+
+void active_request::count_as_active() {
+    if (!std::exchange(counted_as_active, true))
+        metrics_scope = context.metrics.start_request();
+}
+
+void active_request::count_result(request_result result) {
+    count_as_active();
+    metrics_scope.finish(class_name, result);
+}
+
+void active_request::abandon() {
+    context.routing.client_disconnected(handle);
+    context.routing.request_finished(handle, outcome::canceled);
+}
+
+} // namespace harrierpass::proxy
--- /dev/null
+++ b/src/proxy/request/body_upload.hpp
@@ -0,0 +1,30 @@
+// SPDX-License-Identifier: Apache-2.0
+// Forwards a long request body to an endpoint while it comes from the client. Until its last byte is written
+// the endpoint has executed nothing.
+#pragma once
+
+#include "net/http.hpp"
+#include "proxy/request/active_request.hpp"
+#include "proxy/request/attempt_result.hpp"
+
+namespace harrierpass::proxy {
+
+inline constexpr double max_upload_time = 2100; // s that the longest body takes at the lowest rate
+
+class body_upload {
+public:
+    explicit body_upload(active_request &request) : request_(request) {}
+
+    // `message` has the head and the beginning of the body. A result of timed_out means that the response is
+    // still to come.
+    attempt_result run(const tcp_socket &upstream, http_reader &message);
+
+private:
+    bool is_cancelled();
+    void on_complete();
+
+    active_request &request_;
+    bool given_up_ = false; // the request had its final response while the body came
+};
+
+} // namespace harrierpass::proxy
--- /dev/null
+++ b/src/proxy/request/upstream_attempt.cpp
@@ -0,0 +1,253 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "proxy/request/upstream_attempt.hpp"
+
+#include "net/http_call.hpp"
+#include "proxy/request/body_upload.hpp"
+#include "proxy/request/protocol.hpp"
+
+#include <algorithm>
+#include <array>
+#include <utility>
+
+namespace harrierpass::proxy {
+namespace {
+
+using std::string_view;
+
+constexpr double connect_margin = 0.05; // s before the client's deadline in which no connect goes on
+// A response of unknown length is streamed from so many bytes on ...
+constexpr std::size_t streamed_size = 16384;
+constexpr double streamed_time = 0.1; // ... or s since its head came, if it goes on
+
+// The counters of attempts, by outcome.
+constexpr std::array<counter, 9> attempt_counters = {
+    counter::attempts_completed, counter::attempts_error,         counter::attempts_overloaded,
+    counter::attempts_timed_out, counter::attempts_connect_error, counter::attempts_reset,
+    counter::attempts_canceled,  counter::attempts_cache_miss,    counter::attempts_cache_miss};
+
+} // namespace
+
+attempt_result upstream_attempt::run() {
+    attempt_result result = connect();
+    if (connection_.socket)
+        result = send();
+    if (result.result == outcome::timed_out)
+        result = await_response();
+    request_.guard.attempt_finished(result.result);
+    context_.counts.add(attempt_counters[static_cast<std::size_t>(result.result)]);
+    log_end(result);
+    if (connection_.socket)
+        end_connection(result);
+    return result;
+}
+
+// Without a connection afterwards, the result says why. Nothing interrupts a connect, so its limit leaves
+// time for the response; one that this limit cut short says nothing of the endpoint, and neither does a
+// shortage on this machine.
+attempt_result upstream_attempt::connect() {
+    const attempt_result client_left = {outcome::discarded_unread, upstream_close_reason::client_left};
+    auto &routing = context_.routing;
+    const double deadline = request_.client_deadline() - connect_margin;
+    if (request_.detect_client_left())
+        return client_left;
+    connection_ = context_.upstreams.acquire(decision_.endpoint, routing.now(), deadline - routing.now());
+    if (!connection_.socket) {
+        if (routing.now() >= deadline)
+            return {outcome::discarded_unread, upstream_close_reason::out_of_time};
+        if (connection_.local_shortage)
+            return {outcome::discarded_unread, upstream_close_reason::local_shortage};
+        return {outcome::connect_error, upstream_close_reason::connect_failed};
+    }
+    const bool is_new = connection_.attempts == 0;
+    if (is_new && request_.detect_client_left())
+        context_.upstreams.release(std::exchange(connection_, {}), routing.now());
+    return client_left;
+}
+
+attempt_result upstream_attempt::send() {
+    const double time_left =
+        request_.streams_body ? request_.client_timeout : request_.deadline - context_.routing.now();
+    const std::string head_text = forwarded_request(message_, time_left, !request_.streams_body);
+    string_view head = head_text;
+    string_view body = request_.streams_body ? string_view{} : message_.body();
+    first_write first;
+    const bool enabled = context_.upstreams.unless_disabled(
+        decision_.endpoint, [&] { first = begin_write(head, body, time_left); });
+    if (first.begun) {
+        context_.counts.add(counter::attempts_sent);
+        ++request_.attempts;
+        ++connection_.attempts;
+    }
+    if (!enabled)
+        return {outcome::discarded_unread, upstream_close_reason::disabled};
+    if (!first.begun)
+        return {outcome::discarded_unread, upstream_close_reason::outdated, was_given_up()};
+    if (first.size < 0 || !write_all(connection_.socket, head, body, first.deadline - context_.routing.now()))
+        return {outcome::connect_error, upstream_close_reason::write_failed};
+    if (request_.streams_body)
+        return body_upload(request_).run(connection_.socket, message_);
+    context_.metrics.attempt_sent();
+    return {outcome::timed_out, upstream_close_reason::timed_out};
+}
+
+// The decision may have changed while the connect went on: it is asked for again right before the first byte.
+upstream_attempt::first_write upstream_attempt::begin_write(string_view &head, string_view &body,
+                                                            double time_left) {
+    first_write first;
+    first.deadline =
+        std::min(context_.routing.attempt_write_deadline(request_.handle), request_.client_deadline());
+    const double now = context_.routing.now();
+    first.begun = now < first.deadline && request_.guard.may_start_attempt(now, time_left);
+    if (first.begun)
+        first.size = write_some(connection_.socket, head, body);
+    return first;
+}
+
+attempt_result upstream_attempt::await_response() {
+    last_received_at_ = context_.routing.now();
+    for (;;) {
+        // Checked before each wait: a wake-up may have ended a wait of the writing, too.
+        if (const auto ended = ended_while_waiting())
+            return *ended;
+        const double time_left =
+            std::min(request_.client_deadline() - context_.routing.now(), time_until_stalled());
+        if (!wait_for_response(time_left))
+            continue;
+        const auto state = read_available(response_, connection_.socket);
+        last_received_at_ = context_.routing.now();
+        if (!response_head_at_ && response_.has_head())
+            response_head_at_ = last_received_at_;
+        if (is_long(state))
+            return forward_response();
+        if (state != http_reader::state::incomplete)
+            return result_of(state);
+    }
+}
+
+// Empty: the wait for the response goes on.
+std::optional<attempt_result> upstream_attempt::ended_while_waiting() {
+    const routing_decision decision = context_.routing.next_decision(request_.handle);
+    const bool given_up = decision.kind_of != routing_decision::kind::attempt_running;
+    if (decision.cancel)
+        return attempt_result{outcome::canceled, upstream_close_reason::canceled, given_up};
+    if (given_up || request_.client_deadline() <= context_.routing.now())
+        return attempt_result{outcome::timed_out, upstream_close_reason::timed_out, given_up};
+    if (time_until_stalled() > 0)
+        return std::nullopt;
+    context_.counts.add(counter::attempts_malformed);
+    return attempt_result{outcome::error, upstream_close_reason::stalled};
+}
+
+// Half a response and then silence is no dead endpoint, but a response whose length is wrong. Before the
+// first byte there is no such limit.
+double upstream_attempt::time_until_stalled() const {
+    if (!response_.has_begun())
+        return forever;
+    return last_received_at_ + request_.response_stall_limit - context_.routing.now();
+}
+
+// Whether something of the response may be read. An attempt goes on when its client leaves, so that the
+// router's count of what is in flight at the endpoint stays right.
+bool upstream_attempt::wait_for_response(double time_left) {
+    std::array<pollfd, 2> sockets = {
+        {{connection_.socket.get(), POLLIN, 0}, {request_.client.socket.get(), POLLRDHUP, 0}}};
+    if (wait_on(sockets, std::min(missed_wakeup_limit, time_left)) <= 0)
+        return false;
+    if (sockets[1].revents != 0)
+        request_.on_client_left();
+    return sockets[0].revents != 0;
+}
+
+attempt_result upstream_attempt::result_of(http_reader::state state) {
+    switch (state) {
+    case http_reader::state::complete: {
+        const bool proxies_fetch = context_.routing.configuration_in_force()->router.origin_kind != none;
+        return {outcome_of(response_.head(), proxies_fetch), {}};
+    }
+    case http_reader::state::truncated:
+        return {outcome::reset, upstream_close_reason::reset};
+    case http_reader::state::window_full: // an error's text, or a response that nobody waits for
+        return {outcome_of(response_.head(), false), upstream_close_reason::error_text_too_long};
+    default: // the endpoint did respond: it is not held to be dead
+        context_.counts.add(counter::attempts_malformed);
+        return {outcome::error, upstream_close_reason::malformed_response};
+    }
+}
+
+// Whether the response is forwarded as it comes, instead of being held whole.
+bool upstream_attempt::is_long(http_reader::state state) const {
+    const bool window_full = state == http_reader::state::window_full;
+    if (!window_full && state != http_reader::state::incomplete)
+        return false;
+    if (!response_.has_head() || response_.head().status != 200 || request_.client_has_left())
+        return false;
+    if (window_full)
+        return true;
+    if (const auto length = response_.content_length())
+        return *length > max_body_size;
+    const std::size_t received = response_.body().size();
+    return received >= streamed_size ||
+           (received > 0 && context_.routing.now() > response_head_at_.value_or(0) + streamed_time);
+}
+
+attempt_result upstream_attempt::forward_response() {
+    attempt_result result = {.result = outcome::completed, .reason = {}, .response_forwarded = true};
+    switch (writer_.forward(connection_.socket, response_)) {
+    case forward_result::complete:
+        break;
+    case forward_result::refused:
+        result.result = outcome::discarded_unread;
+        result.reason = upstream_close_reason::invariant;
+        break;
+    case forward_result::client_left:
+        result.reason = upstream_close_reason::client_left;
+        break;
+    case forward_result::stopped:
+        result.reason = upstream_close_reason::shutting_down;
+        result.response_truncated = true;
+        break;
+    case forward_result::upstream_stalled:
+        result.result = outcome::reset;
+        result.reason = upstream_close_reason::stalled;
+        break;
+    case forward_result::upstream_reset:
+        result.result = outcome::reset;
+        result.reason = upstream_close_reason::reset;
+        break;
+    }
+    return result;
+}
+
+bool upstream_attempt::was_given_up() {
+    return context_.routing.next_decision(request_.handle).kind_of != routing_decision::kind::attempt_running;
+}
+
+void upstream_attempt::log_end(const attempt_result &result) const {
+    const log_level level = context_.request_level();
+    if (!context_.logger.writes(level))
+        return;
+    context_.logger.at(level, "execution-end id=", request_.id,
+                       " server=", context_.upstreams.id_of(decision_.endpoint),
+                       " number=", decision_.attempt, " stopping-for=", context_.time_since_stop(),
+                       " status=", response_.head().status, " note=", response_.head().header("X-Cache"),
+                       " reason=", result.reason ? log_text(*result.reason) : "answered");
+}
+
+void upstream_attempt::end_connection(const attempt_result &result) {
+    auto &upstreams = context_.upstreams;
+    const double now = context_.routing.now();
+    const bool reusable =
+        !result.reason && response_.head().keeps_alive() && response_.pipelined_bytes().empty();
+    if (reusable) {
+        upstreams.release(std::move(connection_), now);
+        return;
+    }
+    // What is idle at a silent endpoint is likely as dead. Where a process died, its other connections show
+    // it themselves.
+    if (result.result == outcome::canceled)
+        upstreams.close_idle_of(decision_.endpoint, now, log_text(upstream_close_reason::suspect));
+    const auto reason = result.reason.value_or(upstream_close_reason::closed_by_endpoint);
+    upstreams.close_connection(std::move(connection_), now, log_text(reason));
+}
+
+} // namespace harrierpass::proxy
