--- a/src/proxy/request/upstream_attempt.cpp
+++ b/src/proxy/request/upstream_attempt.cpp
@@ -245,9 +245,9 @@
     // What is idle at a silent endpoint is likely as dead. Where a process died, its other connections show
     // it themselves.
     if (result.result == outcome::canceled)
-        upstreams.close_idle_of(decision_.endpoint, now, log_text(upstream_close_reason::suspect));
+        upstreams.close_idle_of(decision_.endpoint, now, upstream_close_reason::suspect);
     const auto reason = result.reason.value_or(upstream_close_reason::closed_by_endpoint);
-    upstreams.close_connection(std::move(connection_), now, log_text(reason));
+    upstreams.close_connection(std::move(connection_), now, reason);
 }
 
 } // namespace harrierpass::proxy
--- a/src/proxy/upstream/health_checker.cpp
+++ b/src/proxy/upstream/health_checker.cpp
@@ -3,78 +3,92 @@
 
 #include "net/http_call.hpp"
 
+#include <chrono>
+#include <new>
+#include <string_view>
 #include <thread>
+#include <utility>
 
 namespace harrierpass::proxy {
 namespace {
 
-constexpr double dials = 2;  // dial limits, in which a probe has its answer
-constexpr int most_out = 16; // probes; a lost zone's servers at a time, and few descriptors
+constexpr double response_limit = 2; // connect timeouts, within which a check has its response
+constexpr int max_in_flight = 16;    // checks; a lost zone has many endpoints, and descriptors are few
+constexpr std::string_view health_check_request = "GET /ping HTTP/1.1\r\nHost: probe\r\n\r\n";
 
 } // namespace
 
 health_checker::~health_checker() {
-    while (out_.load() > 0)
+    while (in_flight_.load() > 0)
         std::this_thread::sleep_for(std::chrono::milliseconds(1));
 }
 
-void health_checker::start(index server) {
-    if (out_.fetch_add(1) < most_out && start_detached([this, server] {
-            std::optional<bool> answered;
-            try {
-                answered = check(server);
-            } catch (const std::exception &) { // no memory for it: the router asks again
-            }
-            finished(server, answered);
-        }))
-        return;
-    finished(server, {}); // the router asks again
+// A check that cannot be made is reported as not made, so that the router asks for it again.
+void health_checker::start(index endpoint) {
+    const auto run = [this, endpoint] {
+        check_result is_healthy;
+        try {
+            is_healthy = check(endpoint);
+        } catch (const std::exception &) { // out of memory
+        }
+        report(endpoint, is_healthy);
+    };
+    if (in_flight_.fetch_add(1) >= max_in_flight || !start_detached(run))
+        report(endpoint, {});
 }
 
-void health_checker::finished(index server, std::optional<bool> answered) {
+void health_checker::report(index endpoint, check_result is_healthy) {
     try {
-        dispatcher_.health_check_finished(server, answered);
+        routing_.health_check_finished(endpoint, is_healthy);
     } catch (const std::bad_alloc &) { // what the router decided waits for its next report
     }
-    out_.fetch_sub(1);
+    in_flight_.fetch_sub(1);
 }
 
-// Not on a kept connection: one from before a silence would speak of the process that was there then.
-std::optional<bool> health_checker::check(index server) {
-    auto to = upstream_.connect_new(server, dispatcher_.now());
-    std::string_view asks = "GET /ping HTTP/1.1\r\nHost: probe\r\n\r\n", none;
-    // Guards a server that operators take out while the connection comes up.
-    const bool may = upstream_.unless_disabled(server, [&] {
-        if (to.socket)
-            write_some(to.socket, asks, none); // where it breaks, so does the exchange
+// Not on an idle connection, which could be to the process before the present one.
+health_checker::check_result health_checker::check(index endpoint) {
+    upstream_connection connection = upstreams_.connect_new(endpoint, routing_.now());
+    std::string_view unsent = health_check_request;
+    std::string_view no_body;
+    // An operator may have disabled the endpoint while the connection came up.
+    const bool enabled = upstreams_.unless_disabled(endpoint, [&] {
+        if (connection.socket)
+            write_some(connection.socket, unsent, no_body); // where it breaks, so does the exchange
     });
-    if (!may) {
-        if (to.socket)
-            upstream_.close_connection(std::move(to), dispatcher_.now(), "out");
-        return std::nullopt; // not made
+    if (!enabled) {
+        if (connection.socket)
+            upstreams_.close_connection(std::move(connection), routing_.now(),
+                                        upstream_close_reason::disabled);
+        return std::nullopt;
     }
-    if (!to.socket && to.local_shortage) // says nothing of the server
+    if (!connection.socket && connection.local_shortage)
         return std::nullopt;
     counters_.add(counter::health_checks);
-    if (!to.socket) {
-        upstream_.close_idle_of(server, dispatcher_.now(), "suspect");
+    if (!connection.socket) {
+        upstreams_.close_idle_of(endpoint, routing_.now(), upstream_close_reason::suspect);
         return false;
     }
+    return exchange(std::move(connection), unsent);
+}
+
+// Writes what is unsent of the request and reads the response. The endpoint is healthy if that is a 200.
+bool health_checker::exchange(upstream_connection connection, std::string_view unsent) {
     const auto buffer = buffers_.acquire();
-    http_reader reader(whole_buffer(buffer), http_reader::message_kind::response);
-    const bool whole_answer =
-        http_call(to.socket, asks, reader, dials * dispatcher_.configuration_in_force()->connect_timeout);
-    const bool answered = whole_answer && reader.head().status == 200;
-    if (answered)
+    http_reader response(whole_buffer(buffer), http_reader::message_kind::response);
+    const double limit = response_limit * routing_.configuration_in_force()->connect_timeout;
+    const bool is_complete = http_call(connection.socket, unsent, response, limit);
+    const bool is_healthy = is_complete && response.head().status == 200;
+    if (is_healthy)
         counters_.add(counter::health_checks_answered);
     else
-        upstream_.close_idle_of(server, dispatcher_.now(), "suspect");
-    if (whole_answer && reader.head().keeps_alive() && reader.pipelined_bytes().empty())
-        upstream_.release(std::move(to), dispatcher_.now());
+        upstreams_.close_idle_of(connection.endpoint, routing_.now(), upstream_close_reason::suspect);
+    if (is_complete && response.head().keeps_alive() && response.pipelined_bytes().empty())
+        upstreams_.release(std::move(connection), routing_.now());
     else
-        upstream_.close_connection(std::move(to), dispatcher_.now(),
-                                   whole_answer ? "probed" : "probe_failed");
-    return answered;
+        upstreams_.close_connection(std::move(connection), routing_.now(),
+                                    is_complete ? upstream_close_reason::health_checked
+                                                : upstream_close_reason::health_check_failed);
+    return is_healthy;
 }
 
 } // namespace harrierpass::proxy
--- a/src/proxy/upstream/health_checker.hpp
+++ b/src/proxy/upstream/health_checker.hpp
@@ -1,33 +1,44 @@
 // SPDX-License-Identifier: Apache-2.0
-// Probes of servers that the router asks for, each on a new connection and a short thread of its own.
+// Health checks of endpoints, as the router asks for them: each on a new connection and in a short thread of
+// its own.
 #pragma once
 
+#include "base/counters.hpp"
 #include "net/buffer_pool.hpp"
-#include "proxy/configuration.hpp"
 #include "proxy/request/dispatcher.hpp"
 #include "proxy/upstream/upstream_pool.hpp"
 
 #include <atomic>
+#include <optional>
+#include <string_view>
 
 namespace harrierpass::proxy {
 
 class health_checker {
 public:
-    health_checker(dispatcher &decides, upstream_pool &servers, buffer_pool &buffers, counters &count)
-        : dispatcher_(decides), upstream_(servers), buffers_(buffers), counters_(count) {}
-    ~health_checker(); // waits for those that are out
+    health_checker(dispatcher &routing, upstream_pool &upstreams, buffer_pool &buffers, counters &count)
+        : routing_(routing), upstreams_(upstreams), buffers_(buffers), counters_(count) {}
+    // Waits for the checks that are in flight.
+    ~health_checker();
+    health_checker(const health_checker &) = delete;
+    health_checker &operator=(const health_checker &) = delete;
 
-    void start(index server);
+    // Starts a check of the endpoint. Its result goes to the dispatcher, always.
+    void start(index endpoint);
 
 private:
-    std::optional<bool> check(index server); // empty: not made
-    void finished(index server, std::optional<bool> answered);
+    // What a check found; empty: it was not made, which says nothing of the endpoint.
+    using check_result = std::optional<bool>;
 
-    dispatcher &dispatcher_;
-    upstream_pool &upstream_;
+    check_result check(index endpoint);
+    bool exchange(upstream_connection connection, std::string_view unsent);
+    void report(index endpoint, check_result is_healthy);
+
+    dispatcher &routing_;
+    upstream_pool &upstreams_;
     buffer_pool &buffers_;
     counters &counters_;
-    std::atomic<int> out_ = 0;
+    std::atomic<int> in_flight_ = 0; // checks started and not reported
 };
 
 } // namespace harrierpass::proxy
--- a/src/proxy/upstream/upstream_close_reason.hpp
+++ b/src/proxy/upstream/upstream_close_reason.hpp
@@ -26,14 +26,20 @@
     shutting_down,       // the planned stop left no time for the rest of the response
     invariant,           // the response would have broken an invariant
     closed_by_endpoint,  // the response said "Connection: close"
-    suspect              // another attempt at the endpoint was canceled
+    suspect,             // idle: another attempt there was canceled, or a health check failed
+    stale,               // idle for too long, closed by the endpoint, or older than its process
+    reclaimed,           // idle: its descriptor was needed
+    endpoint_removed,    // idle: the endpoint is not listed any more
+    health_checked,      // a health check's, answered and not to be kept
+    health_check_failed
 };
 
 // The texts of the log's field `reason`, by upstream_close_reason; operators' pages name them.
-inline constexpr std::array<const char *, 18> upstream_close_reason_texts = {
+inline constexpr std::array<const char *, 23> upstream_close_reason_texts = {
     "client_left", "client_cut",   "out_of_time", "own_shortage", "dial_failed",   "out",
     "outdated",    "write_failed", "timed_out",   "called_off",   "stalled",       "reset",
-    "long",        "spoilt",       "draining",    "invariant",    "server_closes", "suspect"};
+    "long",        "spoilt",       "draining",    "invariant",    "server_closes", "suspect",
+    "stale",       "reclaimed",    "gone",        "probed",       "probe_failed"};
 
 constexpr const char *log_text(upstream_close_reason reason) {
     return upstream_close_reason_texts[static_cast<std::size_t>(reason)];
--- a/src/proxy/upstream/upstream_pool.cpp
+++ b/src/proxy/upstream/upstream_pool.cpp
@@ -4,203 +4,236 @@
 #include <algorithm>
 #include <cerrno>
 #include <cstring>
+#include <utility>
 
 namespace harrierpass::proxy {
 namespace {
 
-constexpr double settle = 0.005; // s after an answer in which its server's end of the connection would show
+constexpr double settling_time = 0.005; // s after a response within which a close by the endpoint would show
 
 } // namespace
 
-void upstream_pool::set_endpoint(index server, std::string_view id, std::string_view host_port,
-                                 double started, double now) {
-    const auto at = parse_address(host_port);
-    if (!at)
+void upstream_pool::set_endpoint(index endpoint, std::string_view id, std::string_view host_port,
+                                 double started_at, double now) {
+    const auto where = parse_address(host_port);
+    if (!where)
         log_.warning("server ", id, " has no usable address: ", host_port);
-    bool known;
+    bool is_same = false;
     {
         const std::lock_guard hold(lock_);
-        if (server >= endpoints_.size())
-            endpoints_.resize(server + 1);
-        known = endpoints_[server].id == id;
+        if (endpoint >= endpoints_.size())
+            endpoints_.resize(endpoint + 1);
+        is_same = endpoints_[endpoint].id == id;
     }
-    if (!known) // guards against a new server's queries on an old one's connections
-        close_idle_of(server, now, "gone");
+    // No request for the new endpoint may be written on a connection to the old one.
+    if (!is_same)
+        close_idle_of(endpoint, now, upstream_close_reason::endpoint_removed);
     const std::lock_guard hold(lock_);
-    auto &to = endpoints_[server];
-    to.id = id;
-    to.at = at;
-    to.started = started;
+    auto &slot = endpoints_[endpoint];
+    slot.id = id;
+    slot.where = where;
+    slot.started_at = started_at;
 }
 
-void upstream_pool::set_capacity(std::size_t most, double now) {
-    most_ = most;
-    while (open_connections() > most && close_oldest_idle(now)) {
+void upstream_pool::set_capacity(std::size_t capacity, double now) {
+    capacity_ = capacity;
+    while (open_connections() > capacity && close_oldest_idle(now)) {
     }
 }
 
 std::size_t upstream_pool::open_connections() {
     const std::lock_guard hold(lock_);
-    return open_ + clients_;
+    return open_ + client_connections_;
 }
 
-void upstream_pool::set_disabled(index server, bool out) {
-    const std::unique_lock alone(gate_);
-    if (out)
-        disabled_.insert(server);
+void upstream_pool::set_disabled(index endpoint, bool disabled) {
+    const std::unique_lock no_writes(disabled_lock_);
+    if (disabled)
+        disabled_.insert(endpoint);
     else
-        disabled_.erase(server);
+        disabled_.erase(endpoint);
 }
 
 void upstream_pool::reserve_for_clients(std::size_t count, double now) {
-    bool crowded;
+    bool over_capacity = false;
     {
         const std::lock_guard hold(lock_);
-        clients_ = count;
-        crowded = open_ + clients_ > most_;
+        client_connections_ = count;
+        over_capacity = open_ + client_connections_ > capacity_;
     }
-    if (crowded)
+    if (over_capacity)
         close_oldest_idle(now);
 }
 
-std::string upstream_pool::id_of(index server) {
+std::string upstream_pool::id_of(index endpoint) {
     const std::lock_guard hold(lock_);
-    return endpoints_.at(server).id;
+    return endpoints_.at(endpoint).id;
 }
 
-// Guards "no effect twice": a connection that may have ended, or is of a process before the present one,
-// would break under the query that is written to it, and nobody could tell whether that ran.
-bool upstream_pool::is_stale(const upstream_connection &one, const endpoint_slot &to, double now) const {
-    return now - one.last_used_at > idle_limit_ * idle_reuse_share || one.connected_at < to.started ||
-           peek(one.socket) != peek_result::empty;
+// A connection that may have ended, or is to a process before the present one, would break under the request
+// that is written to it, and nobody could tell whether that was executed.
+bool upstream_pool::is_stale(const upstream_connection &connection, const endpoint_slot &slot,
+                             double now) const {
+    const double idle_time = now - connection.last_used_at;
+    return idle_time > idle_timeout_ * idle_reuse_share || connection.connected_at < slot.started_at ||
+           peek(connection.socket) != peek_result::empty;
 }
 
-upstream_connection upstream_pool::acquire(index server, double now, double most) {
-    closed_connections gone;
-    upstream_connection found;
+upstream_connection upstream_pool::acquire(index endpoint, double now, double limit) {
+    auto idle = take_idle(endpoint, now);
+    if (!idle)
+        return connect_new(endpoint, now, limit);
+    idle->idle_time = now - idle->last_used_at;
+    counters_.add(counter::upstream_connections_reused);
+    return std::move(*idle);
+}
+
+// An endpoint may close its connections right after a response. So the latest connection is taken that has
+// been idle long enough to show it, else the one that has been idle longest.
+std::optional<upstream_connection> upstream_pool::take_idle(index endpoint, double now) {
+    std::vector<closing_connection> stale;
+    std::optional<upstream_connection> found;
     {
         const std::lock_guard hold(lock_);
-        auto &idle = endpoints_.at(server).idle;
-        while (!idle.empty() && !found.socket) {
-            // Guards against a server that ends its connections right after an answer: the latest that has
-            // rested long enough to show it, else the one that has rested longest.
-            const auto rested = std::find_if(idle.rbegin(), idle.rend(), [&](const auto &each) {
-                return now - each.last_used_at >= settle;
+        auto &slot = endpoints_.at(endpoint);
+        while (!slot.idle.empty() && !found) {
+            const auto settled = std::find_if(slot.idle.rbegin(), slot.idle.rend(), [&](const auto &each) {
+                return now - each.last_used_at >= settling_time;
             });
-            const auto one = rested == idle.rend() ? idle.begin() : std::prev(rested.base());
-            if (is_stale(*one, endpoints_[server], now))
-                gone.emplace_back(std::move(*one), "stale");
+            const auto chosen = settled == slot.idle.rend() ? slot.idle.begin() : std::prev(settled.base());
+            if (is_stale(*chosen, slot, now))
+                stale.push_back({std::move(*chosen), upstream_close_reason::stale});
             else
-                found = std::move(*one);
-            idle.erase(one);
+                found = std::move(*chosen);
+            slot.idle.erase(chosen);
         }
     }
-    close(gone, now);
-    if (!found.socket)
-        return connect_new(server, now, most);
-    found.idle_time = now - found.last_used_at;
-    counters_.add(counter::upstream_connections_reused);
+    close_all(stale, now);
     return found;
 }
 
-upstream_connection upstream_pool::connect_new(index server, double now, double most) {
-    std::optional<address> at;
-    bool crowded;
+upstream_connection upstream_pool::connect_new(index endpoint, double now, double limit) {
+    std::optional<address> where;
+    bool over_capacity = false;
     {
         const std::lock_guard hold(lock_);
-        at = endpoints_.at(server).at;
-        crowded = ++open_ + clients_ > most_;
+        where = endpoints_.at(endpoint).where;
+        ++open_;
+        over_capacity = open_ + client_connections_ > capacity_;
     }
-    if (crowded)
+    if (over_capacity)
         close_oldest_idle(now);
-    upstream_connection made;
-    made.endpoint = server;
-    made.connected_at = made.last_used_at = now;
+    upstream_connection connection;
+    connection.endpoint = endpoint;
+    connection.connected_at = connection.last_used_at = now;
     counters_.add(counter::upstream_connects);
-    const double limit = std::min(dial_limit_.load(), most);
-    if (at)
-        made.socket = dial(*at, limit);
-    if (at && !made.socket && is_local_shortage(errno) && close_oldest_idle(now))
-        made.socket = dial(*at, limit);
-    if (!made.socket) {
-        const int why = errno;
-        made.local_shortage = at && is_local_shortage(why);
-        counters_.add(counter::upstream_connects_failed);
-        const std::lock_guard hold(lock_);
-        --open_;
-        log_.debug("server-dial-failed server=", endpoints_[server].id,
-                   " error=", at ? std::strerror(why) : "no address");
+    if (!where) {
+        connect_failed(endpoint, "no address");
+        return connection;
+    }
+    connection.socket = connect(*where, std::min(connect_timeout_.load(), limit), now);
+    if (!connection.socket) {
+        const int error = errno;
+        connection.local_shortage = is_local_shortage(error);
+        connect_failed(endpoint, std::strerror(error));
     }
-    return made;
+    return connection;
+}
+
+// Tries once more where an idle connection could be closed to end a shortage on this machine. Without a
+// connection errno tells why.
+tcp_socket upstream_pool::connect(const address &where, double limit, double now) {
+    tcp_socket socket = dial(where, limit);
+    if (!socket && is_local_shortage(errno) && close_oldest_idle(now))
+        socket = dial(where, limit);
+    return socket;
+}
+
+void upstream_pool::connect_failed(index endpoint, const char *error) {
+    counters_.add(counter::upstream_connects_failed);
+    const std::lock_guard hold(lock_);
+    --open_;
+    log_.debug("server-dial-failed server=", endpoints_[endpoint].id, " error=", error);
 }
 
-void upstream_pool::release(upstream_connection from, double now) {
-    from.last_used_at = now;
+void upstream_pool::release(upstream_connection connection, double now) {
+    connection.last_used_at = now;
     const std::lock_guard hold(lock_);
-    endpoints_.at(from.endpoint).idle.push_back(std::move(from));
+    endpoints_.at(connection.endpoint).idle.push_back(std::move(connection));
 }
 
-void upstream_pool::close_connection(upstream_connection from, double now, const char *reason) {
-    closed_connections one;
-    one.emplace_back(std::move(from), reason);
-    close(one, now);
+void upstream_pool::close_connection(upstream_connection connection, double now,
+                                     upstream_close_reason reason) {
+    std::vector<closing_connection> closing;
+    closing.push_back({std::move(connection), reason});
+    close_all(closing, now);
 }
 
-void upstream_pool::close_idle_of(index server, double now, const char *reason) {
-    closed_connections gone;
+void upstream_pool::close_idle_of(index endpoint, double now, upstream_close_reason reason) {
+    std::vector<closing_connection> closing;
     {
         const std::lock_guard hold(lock_);
-        for (auto &each : endpoints_.at(server).idle)
-            gone.emplace_back(std::move(each), reason);
-        endpoints_[server].idle.clear();
+        auto &idle = endpoints_.at(endpoint).idle;
+        for (auto &each : idle)
+            closing.push_back({std::move(each), reason});
+        idle.clear();
     }
-    close(gone, now);
+    close_all(closing, now);
+}
+
+void upstream_pool::close_idle_of(index endpoint, double now, const char *reason_text) {
+    using enum upstream_close_reason;
+    const bool by_operator = std::string_view(reason_text) == log_text(disabled);
+    close_idle_of(endpoint, now, by_operator ? disabled : endpoint_removed);
 }
 
 void upstream_pool::close_stale(double now) {
-    closed_connections gone;
+    std::vector<closing_connection> closing;
     {
         const std::lock_guard hold(lock_);
-        for (auto &to : endpoints_)
-            while (!to.idle.empty() && is_stale(to.idle.front(), to, now)) {
-                gone.emplace_back(std::move(to.idle.front()), "stale");
-                to.idle.pop_front();
+        for (auto &slot : endpoints_)
+            while (!slot.idle.empty() && is_stale(slot.idle.front(), slot, now)) {
+                closing.push_back({std::move(slot.idle.front()), upstream_close_reason::stale});
+                slot.idle.pop_front();
             }
     }
-    close(gone, now);
+    close_all(closing, now);
 }
 
 bool upstream_pool::close_oldest_idle(double now) {
-    closed_connections gone;
+    std::vector<closing_connection> closing;
     {
         const std::lock_guard hold(lock_);
         endpoint_slot *oldest = nullptr;
-        for (auto &to : endpoints_)
-            if (!to.idle.empty() &&
-                (oldest == nullptr || to.idle.front().last_used_at < oldest->idle.front().last_used_at))
-                oldest = &to;
+        for (auto &slot : endpoints_) {
+            if (slot.idle.empty())
+                continue;
+            if (oldest == nullptr || slot.idle.front().last_used_at < oldest->idle.front().last_used_at)
+                oldest = &slot;
+        }
         if (oldest != nullptr) {
-            gone.emplace_back(std::move(oldest->idle.front()), "reclaimed");
+            closing.push_back({std::move(oldest->idle.front()), upstream_close_reason::reclaimed});
             oldest->idle.pop_front();
         }
     }
-    close(gone, now);
-    return !gone.empty();
+    close_all(closing, now);
+    return !closing.empty();
 }
 
-void upstream_pool::close(closed_connections &those, double now) {
-    for (auto &[one, reason] : those) {
+void upstream_pool::close_all(std::vector<closing_connection> &closing, double now) {
+    for (auto &[connection, reason] : closing) {
         std::string id;
         {
             const std::lock_guard hold(lock_);
             --open_;
-            id = endpoints_[one.endpoint].id;
+            id = endpoints_[connection.endpoint].id;
         }
-        one.socket.close();
-        if (std::string_view(reason) == "stale")
+        connection.socket.close();
+        if (reason == upstream_close_reason::stale)
             counters_.add(counter::upstream_connections_stale);
-        log_.info("connection-end side=server server=", id, " executions=", one.attempts,
-                  " open=", now - one.connected_at, " rested=", one.idle_time, " reason=", reason);
+        log_.info("connection-end side=server server=", id, " executions=", connection.attempts,
+                  " open=", now - connection.connected_at, " rested=", connection.idle_time,
+                  " reason=", log_text(reason));
     }
 }
 
--- a/src/proxy/upstream/upstream_pool.hpp
+++ b/src/proxy/upstream/upstream_pool.hpp
@@ -1,95 +1,124 @@
 // SPDX-License-Identifier: Apache-2.0
-// Where the servers are, and the connections to them that are kept for the next execution.
+// Where the endpoints are, and the idle connections to them that are kept for the next attempt. All functions
+// may be called by several threads. Times are Unix times in seconds; an endpoint is named by the router's
+// index.
 #pragma once
 
 #include "base/counters.hpp"
 #include "base/log.hpp"
 #include "net/sockets.hpp"
 #include "net/threads.hpp"
+#include "proxy/upstream/upstream_close_reason.hpp"
 #include "router/types.hpp"
 
 #include <atomic>
 #include <deque>
 #include <mutex>
+#include <optional>
 #include <set>
 #include <shared_mutex>
+#include <string>
+#include <string_view>
 #include <vector>
 
 namespace harrierpass::proxy {
 
 struct upstream_connection {
-    tcp_socket socket;
+    tcp_socket socket; // empty: no connection came up
     index endpoint = none;
-    double connected_at = 0; // when it came up, s
-    double last_used_at = 0; // when its last answer came, s
-    double idle_time = 0;    // s that it idled before its last execution
-    index attempts = 0;
-    bool local_shortage = false; // without a socket: for want of something on this machine
+    double connected_at = 0;
+    double last_used_at = 0;     // when its last response came
+    double idle_time = 0;        // s that it was idle before its present attempt
+    index attempts = 0;          // made on it
+    bool local_shortage = false; // without a socket: for a shortage on this machine
 };
 
 class upstream_pool {
 public:
-    // `most`: descriptors, for connections in use, kept ones and clients' together.
-    upstream_pool(double dial_limit, double idle_limit, std::size_t most, counters &count, log &lines)
-        : dial_limit_(dial_limit), idle_limit_(idle_limit), most_(most), counters_(count), log_(lines) {}
-
-    // Other limits from now on, s; for connections that idle, too.
-    void set_timeouts(double dial, double idle) {
-        dial_limit_ = dial;
-        idle_limit_ = idle;
+    // Limits in seconds. `capacity`: descriptors for clients' connections and for these, in use and idle.
+    upstream_pool(double connect_timeout, double idle_timeout, std::size_t capacity, counters &count,
+                  log &logger)
+        : connect_timeout_(connect_timeout), idle_timeout_(idle_timeout), capacity_(capacity),
+          counters_(count), log_(logger) {}
+
+    // Other limits from now on, s; they hold for connections that are idle, too.
+    void set_timeouts(double connect_timeout, double idle_timeout) {
+        connect_timeout_ = connect_timeout;
+        idle_timeout_ = idle_timeout;
     }
-    // Another process holds some: so many are left for all connections together.
-    void set_capacity(std::size_t most, double now);
-    std::size_t open_connections(); // connections, clients' ones too
-    // So many descriptors are clients' now; what is kept beyond the rest ends.
+    // Closes idle connections beyond the new capacity.
+    void set_capacity(std::size_t capacity, double now);
+    // How many there are, the clients' included.
+    std::size_t open_connections();
+    // Clients have so many descriptors now. Closes an idle connection where that makes too many.
     void reserve_for_clients(std::size_t count, double now);
-    // Where a server is. The index may have been another's, to which nothing refers any more.
-    void set_endpoint(index server, std::string_view id, std::string_view host_port, double started,
-                      double now);
 
-    std::string id_of(index server);
+    // Sets where an endpoint is and when its process started. Its index may have been another endpoint's, to
+    // which nothing refers any more.
+    void set_endpoint(index endpoint, std::string_view id, std::string_view host_port, double started_at,
+                      double now);
+    std::string id_of(index endpoint);
 
-    // Nothing new is written to a server that is out by hand. When set_out() returns nothing new can be.
-    void set_disabled(index server, bool out);
-    // Does `write`, the first of an execution or probe, unless the server is out (false).
-    template <typename Write> bool unless_disabled(index server, Write write) {
-        const std::shared_lock pass(gate_);
-        if (disabled_.contains(server))
+    // When this returns, nothing new is written to a disabled endpoint.
+    void set_disabled(index endpoint, bool disabled);
+    // Calls `write`, the first write of an attempt or health check, which must not wait. False, without a
+    // call: the endpoint is disabled.
+    template <typename Write> bool unless_disabled(index endpoint, Write write) {
+        const std::shared_lock writing(disabled_lock_);
+        if (disabled_.contains(endpoint))
             return false;
         write();
         return true;
     }
 
-    // One that is kept, or a new one; without a socket where none came up in time. `most`: s that the caller
-    // has for it, where that is less than the dial limit.
-    upstream_connection acquire(index server, double now, double most = forever);
-    upstream_connection connect_new(index server, double now, double most = forever);
-    void release(upstream_connection from, double now);
-    void close_connection(upstream_connection from, double now, const char *reason);
-    void close_idle_of(index server, double now, const char *reason); // all that idle there
+    // An idle connection or a new one; without a socket where none came up within `limit` seconds or the
+    // connect timeout, whichever is shorter.
+    upstream_connection acquire(index endpoint, double now, double limit = forever);
+    upstream_connection connect_new(index endpoint, double now, double limit = forever);
+    // Gives a connection back for the next attempt.
+    void release(upstream_connection connection, double now);
+    void close_connection(upstream_connection connection, double now, upstream_close_reason reason);
+
+    // Closes all that are idle at the endpoint.
+    void close_idle_of(index endpoint, double now, upstream_close_reason reason);
+    // The same, by the reason's log text: the one of `disabled`, else `endpoint_removed` is meant.
+    void close_idle_of(index endpoint, double now, const char *reason_text);
+    // Closes the idle ones that cannot be used again.
     void close_stale(double now);
-    bool close_oldest_idle(double now); // gives a descriptor back; false: none idles
+    // Closes the connection that has been idle longest, for its descriptor. False: none is idle.
+    bool close_oldest_idle(double now);
 
 private:
     struct endpoint_slot {
         std::string id;
-        std::optional<address> at;
-        double started = 0;
-        std::deque<upstream_connection> idle; // the latest used last
+        std::optional<address> where; // empty: the endpoint list names no usable address
+        double started_at = 0;
+        std::deque<upstream_connection> idle; // by last_used_at, the latest at the back
     };
-    using closed_connections = std::vector<std::pair<upstream_connection, const char *>>;
-    bool is_stale(const upstream_connection &one, const endpoint_slot &to, double now) const;
-    void close(closed_connections &those, double now);
+    struct closing_connection {
+        upstream_connection connection;
+        upstream_close_reason reason;
+    };
+
+    std::optional<upstream_connection> take_idle(index endpoint, double now);
+    tcp_socket connect(const address &where, double limit, double now);
+    void connect_failed(index endpoint, const char *error);
+    bool is_stale(const upstream_connection &connection, const endpoint_slot &slot, double now) const;
+    void close_all(std::vector<closing_connection> &closing, double now);
 
-    std::atomic<double> dial_limit_, idle_limit_;
-    std::atomic<std::size_t> most_;
+    std::atomic<double> connect_timeout_;
+    std::atomic<double> idle_timeout_;
+    std::atomic<std::size_t> capacity_;
     counters &counters_;
     log &log_;
-    std::shared_mutex gate_; // held over first writes, none of which waits
+
+    std::shared_mutex disabled_lock_; // shared while a first write is made
     std::set<index> disabled_;
-    std::mutex lock_;
+
+    std::mutex lock_;                     // guards what follows
     std::deque<endpoint_slot> endpoints_; // by index
-    std::size_t open_ = 0, clients_ = 0;
+    std::size_t open_ = 0;                // these connections, in use and idle
+    std::size_t client_connections_ = 0;
 };
 
 } // namespace harrierpass::proxy
