--- a/src/proxy/request/active_request_ids.hpp
+++ b/src/proxy/request/active_request_ids.hpp
@@ -1,7 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-// The ids of the queries that are open here, so that none is taken twice at once.
+// The ids of the requests that are open at this proxy, so that none is accepted twice at once. Safe for use
+// by several threads.
 #pragma once
 
+#include <cstddef>
 #include <mutex>
 #include <string>
 #include <unordered_set>
@@ -11,43 +13,50 @@
 
 class active_request_ids {
 public:
-    // Holds an id for as long as it lives; empty where the id is open already.
+    // Holds an id for as long as it lives, and must not outlive the set. Empty: it holds none.
     class id_lease {
     public:
         id_lease() = default;
-        id_lease(active_request_ids &with, std::string id) : with_(&with), id_(std::move(id)) {}
+        id_lease(const id_lease &) = delete;
+        id_lease &operator=(const id_lease &) = delete;
+        id_lease(active_request_ids &ids, std::string id) : ids_(&ids), id_(std::move(id)) {}
         id_lease(id_lease &&that) noexcept
-            : with_(std::exchange(that.with_, nullptr)), id_(std::move(that.id_)) {}
+            : ids_(std::exchange(that.ids_, nullptr)), id_(std::move(that.id_)) {}
         id_lease &operator=(id_lease &&that) noexcept {
-            std::swap(with_, that.with_);
+            std::swap(ids_, that.ids_);
             std::swap(id_, that.id_);
             return *this;
         }
         ~id_lease() {
-            if (with_ == nullptr)
-                return;
-            const std::lock_guard hold(with_->lock_);
-            with_->ids_.erase(id_);
+            if (ids_ != nullptr)
+                ids_->release(id_);
         }
-        explicit operator bool() const { return with_ != nullptr; }
+        explicit operator bool() const { return ids_ != nullptr; }
 
     private:
-        active_request_ids *with_ = nullptr;
+        active_request_ids *ids_ = nullptr;
         std::string id_;
     };
 
+    // Empty: another lease holds the id.
     id_lease acquire(std::string id) {
         const std::lock_guard hold(lock_);
-        return ids_.insert(id).second ? id_lease(*this, std::move(id)) : id_lease();
+        return open_.insert(id).second ? id_lease(*this, std::move(id)) : id_lease();
     }
+    // How many ids are held.
     std::size_t size() {
         const std::lock_guard hold(lock_);
-        return ids_.size();
+        return open_.size();
     }
 
 private:
+    void release(const std::string &id) {
+        const std::lock_guard hold(lock_);
+        open_.erase(id);
+    }
+
     std::mutex lock_;
-    std::unordered_set<std::string> ids_;
+    std::unordered_set<std::string> open_;
 };
 
 } // namespace harrierpass::proxy
--- a/src/proxy/request/protocol.cpp
+++ b/src/proxy/request/protocol.cpp
@@ -6,91 +6,129 @@
 #include <algorithm>
 #include <array>
 #include <cstdio>
+#include <utility>
 
 namespace harrierpass::proxy {
 namespace {
 
 using std::string_view;
 
-// s; a client that says more is not waited for, and what is kept of it is bounded
-constexpr double longest_wait = 60;
-
-void append_number(std::string &to, double value, const char *form) {
+constexpr double max_client_timeout = 60; // s; bounds how long the state of a request is kept
+
+// Fields that identify the request. Given twice, two readers could take it for different requests.
+constexpr std::array<string_view, 5> identifying_fields = {"X-Request-Id", "X-Class", "X-Tenant",
+                                                           "X-Deadline", "Idempotency-Key"};
+
+struct status_phrase {
+    int status;
+    string_view phrase;
+};
+constexpr std::array<status_phrase, 10> status_phrases = {{{200, "OK"},
+                                                           {400, "Bad Request"},
+                                                           {404, "Not Found"},
+                                                           {405, "Method Not Allowed"},
+                                                           {408, "Request Timeout"},
+                                                           {409, "Conflict"},
+                                                           {413, "Content Too Large"},
+                                                           {502, "Bad Gateway"},
+                                                           {503, "Service Unavailable"},
+                                                           {504, "Gateway Timeout"}}};
+
+void append_number(std::string &to, double value, const char *format) {
     std::array<char, 40> text{};
-    std::snprintf(text.data(), text.size(), form, value);
+    std::snprintf(text.data(), text.size(), format, value);
     to += text.data();
 }
 
-} // namespace
+// "/CLASS/.../KEY?QUERY" without the first slash and the query.
+string_view path_of(const http_head &head) {
+    return head.target.substr(1, head.target.find('?') - 1);
+}
 
-parsed_request parse_request(const http_head &asked, const configuration &given) {
-    const auto bad = [](const char *why) { return parsed_request{{}, 0, why}; };
-    // Guards against what two readers would take for different queries.
-    for (const string_view each : {"X-Request-Id", "X-Class", "X-Tenant", "X-Deadline", "Idempotency-Key"})
-        if (asked.header_count(each) > 1)
-            return bad("one of the fields that name the query stands twice\n");
-    if (asked.header("X-Request-Id").empty())
-        return bad("no X-Request-Id\n");
-    const string_view path = asked.target.substr(1, asked.target.find('?') - 1);
-    string_view name = asked.header("X-Class");
-    if (name.empty())
-        name = path.substr(0, path.find('/'));
-    parsed_request to;
-    to.info.class_id = index_of_name(given.request_classes, name);
-    if (to.info.class_id == none)
-        return bad("no use case of that name\n");
+// The field's, else the first segment of the path.
+string_view class_name_of(const http_head &head) {
+    const string_view named = head.header("X-Class");
+    if (!named.empty())
+        return named;
+    const string_view path = path_of(head);
+    return path.substr(0, path.find('/'));
+}
+
+// The last segment of a path of several; empty: the request has no key.
+string_view key_of(const http_head &head) {
+    const string_view path = path_of(head);
     const auto slash = path.rfind('/');
-    const string_view key = slash == string_view::npos ? string_view{} : path.substr(slash + 1);
-    to.info.has_key = !key.empty();
-    to.info.key = ring_hash(key); // the text's own, so that it is the same at every proxy
-    to.info.tenant = index_of_name(given.tenants, asked.header("X-Tenant"));
-    to.info.is_write = asked.method == "PUT";
-    const bool told = asked.header_count("X-Deadline") > 0;
-    const double seconds =
-        told ? parse_timeout(asked.header("X-Deadline")) : given.request_timeouts[to.info.class_id];
-    if (seconds < 0)
-        return bad("X-Deadline is no number like 480m or 480000u\n");
-    to.client_timeout = std::min(seconds, longest_wait);
-    return to;
+    return slash == string_view::npos ? string_view{} : path.substr(slash + 1);
+}
+
+parsed_request no_request(const char *fault) {
+    return {.info = {}, .client_timeout = 0, .fault = fault};
+}
+
+} // namespace
+
+parsed_request parse_request(const http_head &head, const configuration &settings) {
+    for (const string_view name : identifying_fields)
+        if (head.header_count(name) > 1)
+            return no_request("one of the fields that name the query stands twice\n");
+    if (head.header("X-Request-Id").empty())
+        return no_request("no X-Request-Id\n");
+    parsed_request parsed;
+    parsed.info.class_id = index_of_name(settings.request_classes, class_name_of(head));
+    if (parsed.info.class_id == none)
+        return no_request("no use case of that name\n");
+    const string_view key = key_of(head);
+    parsed.info.has_key = !key.empty();
+    parsed.info.key = ring_hash(key); // of the text alone, so that it is the same at every proxy
+    parsed.info.tenant = index_of_name(settings.tenants, head.header("X-Tenant"));
+    parsed.info.is_write = head.method == "PUT";
+    const bool has_deadline = head.header_count("X-Deadline") > 0;
+    const double timeout = has_deadline ? parse_timeout(head.header("X-Deadline"))
+                                        : settings.request_timeouts[parsed.info.class_id];
+    if (timeout < 0)
+        return no_request("X-Deadline is no number like 480m or 480000u\n");
+    parsed.client_timeout = std::min(timeout, max_client_timeout);
+    return parsed;
 }
 
-std::string forwarded_request(const http_reader &asked, double left, bool whole) {
-    const auto &head = asked.head();
-    std::string to;
-    to.reserve(512);
-    to.append(head.method).append(" ").append(head.target).append(" HTTP/1.1\r\n");
-    for (const auto &each : head.fields)
-        if (!is_hop_by_hop(head, each.name) && !equals_ignoring_case(each.name, "X-Deadline"))
-            append_header(to, each.name, each.value);
-    to += "X-Deadline: ";
-    append_number(to, std::max(1.0, left * 1000), "%.0fm\r\n");
-    if (!whole)
-        to += asked.content_length() ? content_length_header(*asked.content_length())
-                                     : std::string(chunked_header);
-    else if (head.method == "PUT" || !asked.body().empty())
-        to += content_length_header(asked.body().size());
-    return to += "\r\n";
+std::string forwarded_request(const http_reader &request, double time_left, bool whole_body) {
+    const http_head &head = request.head();
+    std::string text;
+    text.reserve(512);
+    text.append(head.method).append(" ").append(head.target).append(" HTTP/1.1\r\n");
+    for (const auto &field : head.fields)
+        if (!is_hop_by_hop(head, field.name) && !equals_ignoring_case(field.name, "X-Deadline"))
+            append_header(text, field.name, field.value);
+    text += "X-Deadline: ";
+    append_number(text, std::max(1.0, time_left * 1000), "%.0fm\r\n");
+    if (!whole_body) {
+        const auto length = request.content_length();
+        text += length ? content_length_header(*length) : std::string(chunked_header);
+    } else if (head.method == "PUT" || !request.body().empty()) {
+        text += content_length_header(request.body().size());
+    }
+    return text += "\r\n";
 }
 
-bool is_cache_miss(const http_head &answer) {
-    const string_view note = answer.header("X-Cache");
-    return equals_ignoring_case(note, "miss") || equals_ignoring_case(note, "pending");
+bool is_cache_miss(const http_head &response) {
+    const string_view cache_status = response.header("X-Cache");
+    return equals_ignoring_case(cache_status, "miss") || equals_ignoring_case(cache_status, "pending");
 }
 
-outcome outcome_of(const http_head &answer, bool aside) {
-    if (answer.status == 200)
+outcome outcome_of(const http_head &response, bool proxies_fetch) {
+    if (response.status == 200)
         return outcome::completed;
-    if (aside && answer.status == 404 && is_cache_miss(answer))
+    if (proxies_fetch && response.status == 404 && is_cache_miss(response))
         return outcome::cache_miss;
-    const bool never_began = answer.status == 503 || answer.status == 504;
-    return never_began && answer.header("X-Not-Run") == "1" ? outcome::overloaded : outcome::error;
+    const bool is_refusal = response.status == 503 || response.status == 504;
+    return is_refusal && response.header("X-Not-Run") == "1" ? outcome::overloaded : outcome::error;
 }
 
-std::string forwarded_headers(const http_head &answer) {
+std::string forwarded_headers(const http_head &response) {
     std::string fields;
-    for (const auto &each : answer.fields)
-        if (!is_hop_by_hop(answer, each.name))
-            append_header(fields, each.name, each.value);
+    for (const auto &field : response.fields)
+        if (!is_hop_by_hop(response, field.name))
+            append_header(fields, field.name, field.value);
     return fields;
 }
 
@@ -109,27 +147,16 @@
     return field;
 }
 
-std::string answer_head(int status, string_view fields, std::size_t size, bool keeps) {
-    return response_head(status, fields, content_length_header(size), keeps);
+std::string answer_head(int status, string_view fields, std::size_t size, bool keep_connection) {
+    return response_head(status, fields, content_length_header(size), keep_connection);
 }
 
-std::string response_head(int status, string_view fields, string_view framing, bool keeps) {
-    static constexpr std::array<std::pair<int, string_view>, 10> names = {{{200, "OK"},
-                                                                           {400, "Bad Request"},
-                                                                           {404, "Not Found"},
-                                                                           {405, "Method Not Allowed"},
-                                                                           {408, "Request Timeout"},
-                                                                           {409, "Conflict"},
-                                                                           {413, "Content Too Large"},
-                                                                           {502, "Bad Gateway"},
-                                                                           {503, "Service Unavailable"},
-                                                                           {504, "Gateway Timeout"}}};
-    const auto name =
-        std::find_if(names.begin(), names.end(), [&](const auto &each) { return each.first == status; });
+std::string response_head(int status, string_view fields, string_view framing_field, bool keep_connection) {
+    const auto known = std::find_if(status_phrases.begin(), status_phrases.end(),
+                                    [&](const status_phrase &each) { return each.status == status; });
     std::string head = "HTTP/1.1 " + std::to_string(status) + " ";
-    head.append(name->second).append("\r\n").append(fields);
-    head += framing;
-    if (!keeps)
+    head.append(known->phrase).append("\r\n").append(fields).append(framing_field);
+    if (!keep_connection)
         append_header(head, "Connection", "close");
     return head += "\r\n";
 }
--- a/src/proxy/request/request_guard.cpp
+++ b/src/proxy/request/request_guard.cpp
@@ -2,22 +2,24 @@
 #include "proxy/request/request_guard.hpp"
 
 #include <array>
+#include <cstddef>
 
 namespace harrierpass::proxy {
 namespace {
 
-constexpr double deadline_slack = 0.15; // s; the protocol's, for the deadline that a server is told
+constexpr double deadline_slack = 0.15; // s; the protocol's, for the deadline that an endpoint is told
 
-constexpr std::array<const char *, 10> names = {"answered_before_close", "one_answer",
-                                                "send_before_answer",    "send_before_deadline",
-                                                "send_for_client",       "one_attempt_at_a_time",
-                                                "no_unsafe_repeat",      "repeat_in_window",
-                                                "deadline_told",         "nothing_left_at_end"};
+// By invariant.
+constexpr std::array<const char *, 10> invariant_names = {"answered_before_close", "one_answer",
+                                                          "send_before_answer",    "send_before_deadline",
+                                                          "send_for_client",       "one_attempt_at_a_time",
+                                                          "no_unsafe_repeat",      "repeat_in_window",
+                                                          "deadline_told",         "nothing_left_at_end"};
 
 } // namespace
 
 const char *name_of(invariant which) {
-    return names[static_cast<std::size_t>(which)];
+    return invariant_names[static_cast<std::size_t>(which)];
 }
 
 void invariant_monitor::violated(invariant which, std::string_view request_id) {
@@ -32,52 +34,53 @@
 
 void request_guard::request_read(std::string_view id, const request_class &kind, double deadline) {
     id_ = id;
-    kind_ = kind;
+    class_ = kind;
     deadline_ = deadline;
     read_ = true;
 }
 
-bool request_guard::holds(bool condition, invariant which) {
+bool request_guard::require(bool condition, invariant which) {
     if (condition)
         return true;
-    refused_ = true;
+    violated_ = true;
     monitor_.violated(which, id_);
     return false;
 }
 
-bool request_guard::may_start_attempt(double now, double told) {
-    const bool unsafe = kind_.effect == effect_kind::non_idempotent;
-    const bool keyed = kind_.effect == effect_kind::deduplicated;
-    const bool may = holds(!answered_, invariant::attempt_before_response) &&
-                     holds(!client_left_, invariant::attempt_for_client) &&
-                     holds(now < deadline_, invariant::attempt_before_deadline) &&
-                     holds(told <= deadline_ - now + deadline_slack, invariant::deadline_forwarded) &&
-                     holds(!attempt_out_, invariant::one_attempt_at_a_time) &&
-                     holds(!(unsafe && may_have_run_), invariant::no_unsafe_retry) &&
-                     holds(!(keyed && may_have_run_) || now < first_sent_ + kind_.deduplication_window,
-                           invariant::retry_in_window);
-    if (may) {
-        attempt_out_ = true;
-        last_sent_ = now;
+bool request_guard::may_start_attempt(double now, double forwarded_timeout) {
+    const bool retries_unsafely = possibly_executed_ && class_.effect == effect_kind::non_idempotent;
+    const bool needs_window = possibly_executed_ && class_.effect == effect_kind::deduplicated;
+    const bool in_window = now < first_executed_at_ + class_.deduplication_window;
+    const bool allowed =
+        require(!responded_, invariant::attempt_before_response) &&
+        require(!client_left_, invariant::attempt_for_client) &&
+        require(now < deadline_, invariant::attempt_before_deadline) &&
+        require(forwarded_timeout <= deadline_ - now + deadline_slack, invariant::deadline_forwarded) &&
+        require(!attempt_in_flight_, invariant::one_attempt_at_a_time) &&
+        require(!retries_unsafely, invariant::no_unsafe_retry) &&
+        require(!needs_window || in_window, invariant::retry_in_window);
+    if (allowed) {
+        attempt_in_flight_ = true;
+        last_sent_at_ = now;
     }
-    return may;
+    return allowed;
 }
 
 void request_guard::attempt_finished(outcome result) {
-    if (!attempt_out_)
+    if (!attempt_in_flight_)
         return;
-    attempt_out_ = false;
+    attempt_in_flight_ = false;
     if (known_not_executed(result))
         return;
-    if (!may_have_run_)
-        first_sent_ = last_sent_;
-    may_have_run_ = true;
+    if (!possibly_executed_)
+        first_executed_at_ = last_sent_at_;
+    possibly_executed_ = true;
 }
 
 bool request_guard::may_respond() {
-    if (!holds(!answered_, invariant::one_response))
+    if (!require(!responded_, invariant::one_response))
         return false;
-    answered_ = true;
+    responded_ = true;
     return true;
 }
 
