--- a/tests/proxy/crossings_test.cpp
+++ b/tests/proxy/crossings_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-// Crossings: what a request, an answer, a change of the list or a signal does that comes between two lines of
-// the proxy. Each is forced: the other side holds back an accept, an answer or a byte until what it has to
-// cross has been seen. docs/crossings.md has a line for each.
+// Race conditions: what a request, a response, a change of the endpoint list or a signal does that comes
+// between two lines of the proxy. Each is forced: the other side holds back an accept, a response or a byte
+// until what it has to cross has been seen. docs/crossings.md has a line for each.
 #include "support/stand.hpp"
 
 #include "net/http.hpp"
@@ -15,12 +15,12 @@
 namespace harrierpass::proxy {
 namespace {
 
-void wait_until(const std::function<bool()> &holds) {
-    while (!holds())
+void wait_until(const std::function<bool()> &condition) {
+    while (!condition())
         std::this_thread::yield();
 }
 
-// A key whose first server is the stand's s0 or s1, by the ring of these two.
+// A key whose first endpoint is the fixture's s0 or s1, by the hash ring of these two.
 std::string key_of(const std::string &server) {
     std::vector<std::pair<std::uint64_t, std::string>> points;
     for (const std::string id : {"s0", "s1"})
@@ -35,22 +35,22 @@
     }
 }
 
-// The stand's list with its second server elsewhere.
-std::string list_with(stand &with, const std::string &second, const char *phase = "active") {
+// The fixture's endpoint list with its second endpoint at another address.
+std::string list_with_second_endpoint(stand &with, const std::string &second, const char *phase = "active") {
     std::string list = with.list("active", true);
     list.replace(list.find(with.servers[1].at()), with.servers[1].at().size(), second);
     const auto state = list.rfind("\"active\"");
     return list.replace(state, 8, "\"" + std::string(phase) + "\"");
 }
 
-void tell(stand &with, const std::string &list) {
+void publish_list(stand &with, const std::string &list) {
     const auto before = with.proxy->counts().of(counter::endpoint_updates);
     with.discovery.push(ok(list));
     wait_until([&] { return with.proxy->counts().of(counter::endpoint_updates) > before; });
 }
 
-// All that came on a connection, to its end or reset.
-std::string all_of(const tcp_socket &from) {
+// All that comes on a connection until it closes or is reset.
+std::string read_to_end(const tcp_socket &from) {
     std::string all;
     std::array<char, 4096> part{};
     for (ssize_t size; (size = ::recv(from.get(), part.data(), part.size(), 0)) > 0;)
@@ -62,11 +62,12 @@
 
 // ---- A decision is old when it is written
 
-// Guards "no effect twice": servers have forgotten the query by the time the second one's connection is up.
+// A retry must not have a second effect: endpoints have forgotten the request by the time the second one's
+// connection is up.
 TEST_CASE("crossing: the window of repeats closes while a connection comes up") {
     stand with({.replies = {"hold"}, .statement_ms = 9000, .dial_ms = 8000, .window_ms = 400});
-    const full_server late;
-    tell(with, list_with(with, late.at()));
+    const full_server slow_endpoint;
+    publish_list(with, list_with_second_endpoint(with, slow_endpoint.at()));
     const auto &count = with.proxy->counts();
     toy_client client(with.port);
     const double sent = steady_now();                 // before it was
@@ -77,65 +78,67 @@
     wait_until([&] { return count.of(counter::upstream_connects) > dials; });
     REQUIRE(steady_now() < sent + 0.3); // the second execution was decided on inside the window
     wait_until([&] { return steady_now() > sent + 0.4; });
-    const tcp_socket came = late.make_room();
+    const tcp_socket accepted = slow_endpoint.make_room();
     CHECK(told(client.read()) == "HTTP/1.1 502 []"); // it may have run: no rejection
     CHECK(count.of(counter::attempts_sent) == 1);
     with.proxy.reset();
-    CHECK(all_of(came).find("/book/") == std::string::npos);
+    CHECK(read_to_end(accepted).find("/book/") == std::string::npos);
 }
 
-// Guards drains: the list tells of one while a connection to that server comes up.
+// A draining endpoint gets no request: the list says so while a connection to it comes up.
 TEST_CASE("crossing: a drain while a connection comes up") {
     stand with({.statement_ms = 9000, .dial_ms = 8000});
-    const full_server late;
-    tell(with, list_with(with, late.at()));
+    const full_server slow_endpoint;
+    publish_list(with, list_with_second_endpoint(with, slow_endpoint.at()));
     const auto &count = with.proxy->counts();
     toy_client client(with.port);
     client.send(asks("bill", key_of("s1"), "8000m"));
     wait_until([&] { return count.of(counter::upstream_connects) > 0; });
-    tell(with, list_with(with, late.at(), "leaving"));
-    const tcp_socket came = late.make_room();
+    publish_list(with, list_with_second_endpoint(with, slow_endpoint.at(), "leaving"));
+    const tcp_socket accepted = slow_endpoint.make_room();
     CHECK(told(client.read()) == "HTTP/1.1 200 [value]"); // by the other one
     CHECK(with.servers[0].count() == 1);
     with.proxy.reset();
-    CHECK(all_of(came).find("/bill/") == std::string::npos);
+    CHECK(read_to_end(accepted).find("/bill/") == std::string::npos);
 }
 
-// Guards a server's name, good or bad, against a write that breaks: it never ran there, and that is no
-// accident of the query's.
+// A write that breaks says nothing of the endpoint, good or bad: the request was not executed there, and it
+// is not at fault.
 TEST_CASE("crossing: a reset while a query is written") {
     stand with;
-    const tcp_socket narrow(::socket(AF_INET, SOCK_STREAM, 0));
-    const int little = 1024; // bytes; most of the body finds no room
-    ::setsockopt(narrow.get(), SOL_SOCKET, SO_RCVBUF, &little, sizeof little);
+    const tcp_socket small_listener(::socket(AF_INET, SOCK_STREAM, 0));
+    const int receive_buffer_size = 1024; // bytes; most of the body finds no room
+    ::setsockopt(small_listener.get(), SOL_SOCKET, SO_RCVBUF, &receive_buffer_size,
+                 sizeof receive_buffer_size);
     // The system gives a connection of small segments little room to send from, too: less than the body.
     const int segment = 536;
-    ::setsockopt(narrow.get(), IPPROTO_TCP, TCP_MAXSEG, &segment, sizeof segment);
+    ::setsockopt(small_listener.get(), IPPROTO_TCP, TCP_MAXSEG, &segment, sizeof segment);
     const address any = *parse_address("127.0.0.1:0");
-    REQUIRE(::bind(narrow.get(), reinterpret_cast<const sockaddr *>(&any.where), any.size) == 0);
-    REQUIRE(::listen(narrow.get(), 8) == 0);
-    tell(with, list_with(with, to_text(local_address(narrow))));
+    REQUIRE(::bind(small_listener.get(), reinterpret_cast<const sockaddr *>(&any.where), any.size) == 0);
+    REQUIRE(::listen(small_listener.get(), 8) == 0);
+    publish_list(with, list_with_second_endpoint(with, to_text(local_address(small_listener))));
     toy_client client(with.port);
-    std::string asked = asks("bill", key_of("s1"));
+    std::string request = asks("bill", key_of("s1"));
     const std::string body(60000, 'b');
-    asked.replace(asked.find("Content-Length: 4"), 17, "Content-Length: " + std::to_string(body.size()));
-    asked.replace(asked.find("\r\n\r\nbody") + 4, 4, body);
-    std::thread resets([&] {
-        tcp_socket came(::accept(narrow.get(), nullptr, nullptr));
+    request.replace(request.find("Content-Length: 4"), 17, "Content-Length: " + std::to_string(body.size()));
+    request.replace(request.find("\r\n\r\nbody") + 4, 4, body);
+    std::thread resetting_endpoint([&] {
+        tcp_socket accepted(::accept(small_listener.get(), nullptr, nullptr));
         char first;
-        ::recv(came.get(), &first, 1, MSG_PEEK);
+        ::recv(accepted.get(), &first, 1, MSG_PEEK);
         const linger at_once{1, 0};
-        ::setsockopt(came.get(), SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
+        ::setsockopt(accepted.get(), SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
     });
-    CHECK(told(client.ask(asked)) == "HTTP/1.1 200 [value]");
-    resets.join();
+    CHECK(told(client.ask(request)) == "HTTP/1.1 200 [value]");
+    resetting_endpoint.join();
     CHECK(with.proxy->counts().of(counter::attempts_connect_error) == 1);
     CHECK(with.servers[0].count() == 1);
 }
 
 // ---- A client that has gone
 
-// Guards servers against work for nobody: the client leaves during the first attempt, which then breaks.
+// Endpoints do no work for nobody: the client leaves during the first attempt, which then breaks, and there
+// is no retry.
 TEST_CASE("crossing: a client leaves before a further attempt") {
     stand with({.replies = {"hold"}});
     const auto &count = with.proxy->counts();
@@ -154,25 +157,26 @@
 
 // ---- Ends of clients' connections
 
-// Guards an answer on its way: what the client sent behind its query lies unread when the connection ends.
+// A response on its way is not destroyed where bytes behind the request lie unread when the connection
+// closes.
 TEST_CASE("crossing: bytes behind the last query of a connection") {
     const std::string body(60000, 'v');
     stand with({.replies = {"hold"}});
     const auto &count = with.proxy->counts();
     const auto ended = count.of(counter::client_connections_closed);
     tcp_socket client(::socket(AF_INET, SOCK_STREAM, 0));
-    const int little = 1024; // bytes; most of the answer waits on the proxy's side
-    ::setsockopt(client.get(), SOL_SOCKET, SO_RCVBUF, &little, sizeof little);
+    const int receive_buffer_size = 1024; // bytes; most of the answer waits on the proxy's side
+    ::setsockopt(client.get(), SOL_SOCKET, SO_RCVBUF, &receive_buffer_size, sizeof receive_buffer_size);
     const auto at = test::loopback(with.port);
     REQUIRE(::connect(client.get(), reinterpret_cast<const sockaddr *>(&at), sizeof at) == 0);
-    std::string asked = asks("read", key_of("s0"));
-    asked.replace(asked.find("\r\nX-Class"), 0, "\r\nConnection: close");
-    test::write_text(client.get(), asked);
+    std::string request = asks("read", key_of("s0"));
+    request.replace(request.find("\r\nX-Class"), 0, "\r\nConnection: close");
+    test::write_text(client.get(), request);
     with.servers[0].wait_for(1);
     test::write_text(client.get(), asks("read", key_of("s1")));
     with.servers[0].push(ok(body));
     wait_until([&] { return count.of(counter::client_connections_closed) > ended; });
-    const std::string answer = all_of(client);
+    const std::string answer = read_to_end(client);
     CHECK(answer.starts_with("HTTP/1.1 200"));
     CHECK(answer.ends_with("\r\n\r\n" + body));
     CHECK(with.executions() == 1);
@@ -180,8 +184,7 @@
 
 // ---- Signals
 
-// Guards clients at an upgrade: a successor that is told to end before it knows its servers takes nobody
-// over.
+// At an upgrade, a successor that is told to stop before it knows its endpoints takes over no clients.
 TEST_CASE("crossing: a signal to end comes to a successor whose list never comes") {
     const own_directory own;
     stand with({.port = free_port(), .control = true, .starts = false});
@@ -197,7 +200,7 @@
     first.ends();
 }
 
-// Guards a query in hand against signals that come on top of each other.
+// An active request gets its response whatever signals come on top of each other.
 TEST_CASE("crossing: a reload and two signals to end while a query is out") {
     stand with({.replies = {"hold"}, .starts = false});
     running one(with, "signals.json");
@@ -215,8 +218,9 @@
 
 // ---- Discovery
 
-// Guards the list: a client has taken the descriptor of the connection to discovery by the time of the next
-// call. One at rest would be ended to make room; this one is in the middle of its query.
+// The endpoint list is followed even where a client has taken the descriptor of the connection to discovery
+// by the time of the next poll. An idle client would be closed to make room; this one is in the middle of its
+// request.
 TEST_CASE("crossing: clients take every descriptor while discovery is away") {
     stand with({.starts = false});
     running one(with, "full.json");
@@ -247,9 +251,9 @@
     one.ends();
 }
 
-// Guards drains: a change counts as told 6 s after discovery had it and could be reached, whatever calls
-// failed before. All that may lie between, in the worst case, for what settings may say of a list and its
-// drains.
+// A change of the list has to be known 6 s after discovery had it and could be reached, whatever polls failed
+// before. Added up is all that may lie between in the worst case, for whatever settings may say of a list and
+// its draining endpoints.
 TEST_CASE("crossing: discovery returns just after a call was begun") {
     constexpr double told_in = 6;         // s, the operators' term
     constexpr double looks = 0.05 + 0.02; // s, the router's sweep and the follower's nap
--- a/tests/proxy/proxy_test.cpp
+++ b/tests/proxy/proxy_test.cpp
@@ -87,7 +87,7 @@
     CHECK(of_http("PUT /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nfffff\r\n", request) == "too large");
 }
 
-// Guards against bytes that two readers would take for different messages.
+// Two readers must never take the same bytes for different messages.
 TEST_CASE("HTTP: malformed messages") {
     for (const char *bad : {"GET  /a HTTP/1.1\r\n\r\n",
                             "GET a HTTP/1.1\r\n\r\n",
@@ -149,7 +149,7 @@
 
 // ---- The proxy on loopback
 
-// Guards "no effect twice", with what each outcome proves, and an answer's way through.
+// A request has its effect at most once, by what each outcome proves; a response is forwarded as it came.
 TEST_CASE("what is answered after each outcome of a first execution") {
     const std::vector<std::pair<std::string, std::string>> outcomes = {
         {"completed", ok("value", "X-Cache: miss\r\n")},
@@ -184,8 +184,8 @@
     CHECK(trace.str() == test::read_file(std::string(HARRIERPASS_TRACES) + "/proxy_outcomes.txt"));
 }
 
-// Guards a healthy server's good name and its other connections: one answer of eleven is spoilt or stops half
-// way.
+// Malformed or stalled responses, here one of eleven, neither eject a healthy endpoint nor close its other
+// connections.
 TEST_CASE("spoilt answers do not make a server suspect") {
     std::vector<std::string> replies;
     for (int i = 0; i < 30; ++i) {
@@ -206,7 +206,7 @@
     CHECK(with.lines.str().find("reason=spoilt") != std::string::npos);
 }
 
-// Guards deployments whose servers do not fetch what they lack: there the second server is the origin.
+// In deployments whose endpoints do not fetch what they lack; here the second server is the origin.
 TEST_CASE("a miss goes to the origin") {
     stand with({.replies = {"HTTP/1.1 404 None\r\nX-Cache: miss\r\nContent-Length: 0\r\n\r\n"},
                 .family = R"({"mode":"aside","originKind":1})"});
@@ -276,7 +276,7 @@
     CHECK(with.lines.str().find(" reason=bad_request") != std::string::npos);
 }
 
-// Guards "no effect twice" and the client who asked first, against one that uses the id of an open query.
+// A request with the id of an open one has no effect and does not disturb the first one.
 TEST_CASE("an id that is open") {
     stand with({.replies = {"hold"}});
     toy_client first(with.port), second(with.port);
@@ -290,8 +290,8 @@
     CHECK(told(second.ask(asks("bill", "1"))) == "HTTP/1.1 200 [value]"); // it is free again
 }
 
-// Guards room for others against clients that say nothing, stop half way, or never close: an error or an end
-// within 3 s. Over a query that has come nothing closes.
+// Clients that send nothing, stop half way, or never close get an error or a closed connection within 3 s. No
+// connection closes over a request that has come.
 TEST_CASE("clients that are silent or slow") {
     stand with({.sockets = 85}); // 16 clients; half of them and more leave little room
     stand roomy;
@@ -319,7 +319,7 @@
         CHECK(with.lines.str().find(std::string(" reason=") + reason) != std::string::npos);
 }
 
-// Guards the memory: servers come under ever new ids, also at the address of one that has gone.
+// Memory stays bounded where endpoints come under ever new ids, also at the address of a removed one.
 TEST_CASE("servers that are replaced") {
     stand with;
     toy_client client(with.port);
@@ -347,8 +347,8 @@
     CHECK(with.lines.str().find(" reason=gone") != std::string::npos);
 }
 
-// Guards against a decision that a blocked thread sleeps through: the server falls silent, the router calls
-// the query off, and the other server gets it well before the client's end.
+// A blocked thread is woken by a decision: the endpoint falls silent, the router cancels the attempt, and the
+// other endpoint gets the request well before the client's deadline.
 TEST_CASE("a silent server's query is called off and sent elsewhere") {
     stand with({.replies = {"hold"}});
     toy_client client(with.port);
@@ -376,8 +376,8 @@
     CHECK(aborted.find("Retry-After") == std::string::npos);
 }
 
-// Sixteen executions are out, as many as the router allows at two servers it does not know; what comes then
-// is held. Guards a held query's place, and its client's leaving.
+// Sixteen attempts are in flight, as many as the router allows at two endpoints it does not know. What comes
+// then is queued: it keeps its place, and its client may leave.
 TEST_CASE("held queries") {
     stand with({.replies = std::vector<std::string>(40, "hold")});
     const auto &counted = with.proxy->counts();
@@ -407,8 +407,8 @@
         CHECK(client.read().starts_with("HTTP/1.1 200"));
 }
 
-// Guards against a platform where no signal ends a wait: what was decided for a held query is seen all the
-// same, and a connection at rest sees the planned end.
+// On a platform where no signal ends a wait, a queued request still sees its decision, and an idle connection
+// the planned stop.
 TEST_CASE("calls among threads that are lost") {
     stand with({.replies = std::vector<std::string>(40, "hold")});
     struct sigaction none {
@@ -434,7 +434,7 @@
     sigaction(SIGUSR2, &before, nullptr);
 }
 
-// Guards few sockets from going to waste: kept connections have what clients leave, and no more.
+// Idle connections to endpoints have the descriptors that clients leave, and no more.
 TEST_CASE("servers' connections have what clients leave") {
     toy_server server([](const std::string &) { return ok("value"); });
     std::ostringstream lines;
@@ -458,7 +458,8 @@
     CHECK(counted.of(counter::upstream_connects) == 5);
 }
 
-// Guards against a server that ends its connections right after an answer: what has rested goes first.
+// An endpoint may close its connections right after a response: those that have been idle longer are used
+// first.
 TEST_CASE("a server's connection rests before its next use") {
     toy_server server([](const std::string &) { return ok("value"); });
     std::ostringstream lines;
@@ -478,7 +479,7 @@
     CHECK(counted.of(counter::upstream_connects) == 2);
 }
 
-// Guards other queries' connections: where a process died they show it themselves.
+// Other requests' connections stay open: where a process died they show it themselves.
 TEST_CASE("a reset ends its own connection only") {
     stand with({.replies = {"hold"}});
     toy_client out(with.port), other(with.port);
@@ -496,7 +497,7 @@
     CHECK(with.lines.str().find(" reason=suspect") == std::string::npos);
 }
 
-// Guards the limits on sockets and memory: who is one too many is refused at once, and harmlessly.
+// Beyond the limits on sockets and memory a client is rejected at once, before anything was executed.
 TEST_CASE("more clients than there is room for") {
     stand with({.replies = std::vector<std::string>(40, "hold"), .sockets = 85}); // 16 clients
     std::list<toy_client> clients;
@@ -517,7 +518,7 @@
         CHECK(told(client.read()) == "HTTP/1.1 200 [late]");
 }
 
-// Guards the limit on sockets: at it, a connection that rests makes room.
+// At the limit on sockets an idle connection makes room.
 TEST_CASE("resting clients are ended at the limit") {
     stand with({.sockets = 256}); // 118 clients; from 76 on, well below a third of the sockets, room is made
     std::list<toy_client> resting;
@@ -549,7 +550,7 @@
     CHECK(with.lines.str().find(" reason=client_cut") != std::string::npos);
 }
 
-// Guards the router's count of what a server has in hand: the execution goes on without its client.
+// The router's count of what is in flight at an endpoint stays right: the attempt goes on without its client.
 TEST_CASE("a client that leaves") {
     stand with({.replies = {"hold"}});
     {
@@ -568,7 +569,7 @@
     CHECK(told(toy_client(with.port).ask(asks("read", "1"))) == "HTTP/1.1 200 [value]");
 }
 
-// Guards servers against queries that nobody waits for: a dial may take longer than the client stays.
+// Endpoints get no requests that nobody waits for: a connect may take longer than the client stays.
 TEST_CASE("a client that leaves while a connection to its server comes up") {
     stand with({.dial_ms = 5000});
     const full_server late;
@@ -594,7 +595,8 @@
     CHECK(std::string_view(bytes.data(), bytes.size()).find("/bill/") == std::string_view::npos);
 }
 
-// Guards "no effect twice": a server ends an idle connection; the next query must not be written to it.
+// A request must not be written on an idle connection that its endpoint has closed: nobody could tell whether
+// it was executed.
 TEST_CASE("a kept connection that may have ended is not used") {
     stand with({.replies = {"cut:" + ok("value"), ok("value"), ok("value")}});
     toy_client client(with.port);
@@ -630,7 +632,7 @@
     CHECK(with.proxy->counts().of(counter::health_checks_answered) == 0);
 }
 
-// Guards "drains are kept" on the list's way, and the old list while discovery is lost.
+// Draining endpoints in the list get no requests; the old list stands while discovery is lost.
 TEST_CASE("the list is followed") {
     stand with;
     with.discovery.push(ok(with.list("leaving", false)));
@@ -655,7 +657,8 @@
     CHECK(with.servers[0].count() > 0);
 }
 
-// Guards a restart while discovery is down, and "drains are kept" on its return: it is asked again soon.
+// A restart while discovery is down works with the known endpoints; discovery is polled again soon, so that
+// draining endpoints are known on its return.
 TEST_CASE("discovery is silent from the start") {
     stand with({.silent = true});
     CHECK(told(toy_client(with.port).ask(asks("read", "1"))) == "HTTP/1.1 200 [value]");
@@ -671,8 +674,8 @@
     CHECK(with.servers[0].count() == before);
 }
 
-// Guards a proxy in service against a new file: it stays, with what it has in hand, and follows the discovery
-// that the file names; a file that is no good changes nothing.
+// A proxy in service keeps its active requests and follows the discovery that the new file names; an unsound
+// file changes nothing.
 TEST_CASE("SIGHUP: discovery is at another address") {
     stand with({.replies = {"hold"}, .starts = false});
     toy_server other([&](const std::string &request) {
@@ -702,9 +705,8 @@
     it.ends();
 }
 
-// Guards a move to another shape of deployment while queries are in hand: what was taken before is answered
-// once, what comes after goes by the new settings, a file that is no good changes nothing, and the way back
-// is alike.
+// With requests active over a switch of settings: those accepted before get one response each, later ones go
+// by the new settings, an unsound file changes nothing, and the way back is alike.
 TEST_CASE("SIGHUP: other settings, and back") {
     stand with({.replies = {"hold"}, .starts = false});
     const auto changed = [&](const std::string &from, const std::string &to) {
@@ -750,8 +752,8 @@
     it.ends();
 }
 
-// Guards "no query is lost" and "no effect twice" in switches to and fro while queries come: other names in
-// another order, another mode, and each query is run once and answered once.
+// No request is lost or executed twice while settings switch to and fro under load: names in another order,
+// another mode.
 TEST_CASE("SIGHUP: other settings under load") {
     stand with({.starts = false});
     running it(with, "load_test.json");
@@ -788,7 +790,7 @@
     it.ends();
 }
 
-// Guards a proxy in service against settings that were edited by hand: the place and the fault are named.
+// For settings that were edited by hand, the place and the fault are named.
 TEST_CASE("settings out of bounds") {
     stand with({.starts = false});
     const auto fault = [&](const std::string &from, const std::string &to) -> std::string {
@@ -816,7 +818,7 @@
           "settings.familyInfo.mode is 'beside', which is not known");
 }
 
-// Guards a query that crosses a switch against a place in lists of names that are no longer in force.
+// A request that crosses a switch of settings must not keep indices into names that are no longer in force.
 TEST_CASE("a query understood by the old names is not taken") {
     stand with({.starts = false});
     const auto old = std::make_shared<const configuration>(read_configuration(with.config));
@@ -840,7 +842,7 @@
     }
 }
 
-// Guards against a switch by halves: while discovery does not answer, list and settings stand together.
+// Settings and endpoint list switch together: while discovery does not answer, both stay.
 TEST_CASE("SIGHUP: other settings wait for their list") {
     stand with({.starts = false});
     toy_server other([&](const std::string &) { return "hold"; });
@@ -861,8 +863,8 @@
     it.ends();
 }
 
-// Guards "no query is lost" at a planned end, and clients whom no other proxy serves yet: those that it has
-// go on, new connections are served, what is out is answered, then it leaves.
+// No request is lost at a planned stop, and clients whom no other proxy serves yet go on: new connections are
+// served, active requests get their responses, then the process ends.
 TEST_CASE("a planned end") {
     stand with({.replies = {"hold"}});
     toy_client out(with.port), idle(with.port);
@@ -889,7 +891,8 @@
     CHECK_THROWS(toy_client(with.port));
 }
 
-// Guards against being killed with a query in hand: its end is later than the platform's patience.
+// The request's deadline is later than the time at which the platform kills the process: the stop must not
+// wait for it.
 TEST_CASE("a planned end waits no longer than the longest statement timeout") {
     stand with({.replies = {"hold"}, .statement_ms = 100});
     toy_client client(with.port);
@@ -900,7 +903,7 @@
     CHECK(with.proxy->counts().of(counter::aborted) == 1);
 }
 
-// Guards against leaving while clients are still sent here: nothing is open when the end begins.
+// With no connection open when the stop begins, clients are still sent here for a while and must be served.
 TEST_CASE("a planned end serves on for its grace") {
     stand with;
     const auto from = std::chrono::steady_clock::now();
@@ -912,8 +915,8 @@
     CHECK(std::chrono::steady_clock::now() - from >= std::chrono::milliseconds(300));
 }
 
-// Guards the limit on sockets, and "no query is lost" at it: idle clients make room, nobody is turned off for
-// them, and a connection whose answer did not say that it closes is there for the next query.
+// At the limit on sockets idle clients make room, nobody is rejected because of them, and a connection whose
+// response did not say that it closes is there for the next request.
 TEST_CASE("many idle clients") {
     stand with({.sockets = 96}); // 96 less own use: some 20 clients
     std::list<toy_client> idle;
--- /dev/null
+++ b/tests/proxy/response_writer_test.cpp
@@ -0,0 +1,107 @@
+// SPDX-License-Identifier: Apache-2.0
+// The fallback responses on a pair of sockets, and the texts that the reasons have in the log.
+#include "proxy/client/response_writer.hpp"
+
+#include "net/sockets.hpp"
+#include "proxy/request/rejection_reason.hpp"
+#include "proxy/upstream/upstream_close_reason.hpp"
+
+#include <array>
+#include <chrono>
+#include <doctest/doctest.h>
+#include <string>
+#include <sys/socket.h>
+#include <thread>
+
+namespace harrierpass::proxy {
+namespace {
+
+constexpr double write_limit = 5; // s; far more than a write on this machine takes
+
+struct socket_pair {
+    socket_pair() {
+        std::array<int, 2> ends{};
+        REQUIRE(::socketpair(AF_UNIX, SOCK_STREAM, 0, ends.data()) == 0);
+        proxy_end = tcp_socket(ends[0]);
+        client_end = tcp_socket(ends[1]);
+    }
+    // Writes until the socket has no room left; how many bytes that took.
+    std::size_t fill() const {
+        const std::string filling(4096, 'f');
+        std::size_t written = 0;
+        for (ssize_t size = 0;
+             (size = ::send(proxy_end.get(), filling.data(), filling.size(), MSG_DONTWAIT)) > 0;)
+            written += static_cast<std::size_t>(size);
+        for (ssize_t size = 0; (size = ::send(proxy_end.get(), filling.data(), 1, MSG_DONTWAIT)) > 0;)
+            written += static_cast<std::size_t>(size);
+        return written;
+    }
+    // All that the client gets until the proxy's end closes.
+    std::string read_to_end() const {
+        std::string all;
+        std::array<char, 4096> part{};
+        for (ssize_t size = 0; (size = ::recv(client_end.get(), part.data(), part.size(), 0)) > 0;)
+            all.append(part.data(), static_cast<std::size_t>(size));
+        return all;
+    }
+
+    tcp_socket proxy_end;
+    tcp_socket client_end;
+};
+
+} // namespace
+
+TEST_CASE("fallback responses: the whole texts") {
+    const auto written = [](fallback_response which) {
+        socket_pair pair;
+        CHECK(write_fallback_response(pair.proxy_end, which, write_limit));
+        pair.proxy_end.close();
+        return pair.read_to_end();
+    };
+    CHECK(written(fallback_response::unavailable) ==
+          "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Length: 0\r\n"
+          "Connection: close\r\n\r\n");
+    CHECK(written(fallback_response::bad_gateway) ==
+          "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
+}
+
+TEST_CASE("fallback responses: a client that reads late gets the whole text") {
+    socket_pair pair;
+    const std::size_t filled = pair.fill();
+    std::string received;
+    std::thread client([&] {
+        std::this_thread::sleep_for(std::chrono::milliseconds(50));
+        received = pair.read_to_end();
+    });
+    CHECK(write_fallback_response(pair.proxy_end, fallback_response::unavailable, write_limit));
+    pair.proxy_end.close();
+    client.join();
+    CHECK(received.substr(filled).starts_with("HTTP/1.1 503 "));
+    CHECK(received.ends_with("Connection: close\r\n\r\n"));
+}
+
+TEST_CASE("fallback responses: a client that does not read, or has left") {
+    socket_pair pair;
+    pair.fill();
+    CHECK_FALSE(write_fallback_response(pair.proxy_end, fallback_response::unavailable, 0.05));
+    pair.client_end.close();
+    CHECK_FALSE(write_fallback_response(pair.proxy_end, fallback_response::bad_gateway, write_limit));
+}
+
+// The operators' pages name these texts.
+TEST_CASE("reasons in the log") {
+    CHECK(std::string(log_text(close_reason::client_closed_early)) == "client_cut");
+    CHECK(std::string(log_text(close_reason::closed_after_response)) == "answered_last");
+    CHECK(std::string(log_text(close_reason::response_not_taken)) == "answer_cut");
+    CHECK(std::string(log_text(close_reason::internal_error)) == "failed");
+    CHECK(std::string(log_text(rejection_reason::rejected_by_router)) == "router_rejected");
+    CHECK(std::string(log_text(rejection_reason::too_many_connections)) == "too_many_connections");
+    CHECK(std::string(log_text(rejection_reason::invariant)) == "invariant");
+    CHECK(std::string(log_text(upstream_close_reason::client_left)) == "client_left");
+    CHECK(std::string(log_text(upstream_close_reason::disabled)) == "out");
+    CHECK(std::string(log_text(upstream_close_reason::malformed_response)) == "spoilt");
+    CHECK(std::string(log_text(upstream_close_reason::endpoint_removed)) == "gone");
+    CHECK(std::string(log_text(upstream_close_reason::health_check_failed)) == "probe_failed");
+}
+
+} // namespace harrierpass::proxy
