--- a/src/proxy/client/listener.cpp
+++ b/src/proxy/client/listener.cpp
@@ -18,6 +18,7 @@
 constexpr double silent_limit = 2.1;   // s without a first query; no client waits so long with one
 constexpr double once_limit =
     2.2; // s at rest after one query where room is short; some ask once and never close
+constexpr double no_thread_write_timeout = 0.05; // s for which one answer may hold up accepting
 constexpr std::string_view no_thread_answer =
     "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
 constexpr double roomy_share = 0.5; // of the most connections; up to it there is room
@@ -97,9 +98,8 @@
         const auto shared = std::make_shared<client_connection>(std::move(from));
         if (start_detached([this, me, shared, at = to_text(peer)] { serve(*me, std::move(*shared), at); }))
             return true;
-        // Guards a client that has written its request: it is told to come back, not cut off.
-        std::string_view answer = no_thread_answer, nothing;
-        write_some(shared->socket, answer, nothing);
+        // The client may have sent its request already, so it has a whole answer.
+        write_all(shared->socket, no_thread_answer, {}, no_thread_write_timeout);
         close_gracefully(shared->socket, short_pause, buffer_size);
     } catch (const std::bad_alloc &) { // ends as for want of a thread
     }
--- /dev/null
+++ b/tests/proxy/listener_test.cpp
@@ -0,0 +1,187 @@
+// SPDX-License-Identifier: Apache-2.0
+// The listener's answer to connections for which no thread can be started. The calls of the system that fail
+// are replaced in this program; they pass everything on unless a test has armed them.
+#include "support/stand.hpp"
+
+#include <array>
+#include <atomic>
+#include <cerrno>
+#include <dlfcn.h>
+#include <optional>
+#include <pthread.h>
+#include <string_view>
+#include <sys/socket.h>
+
+namespace harrierpass::proxy {
+namespace {
+
+constexpr std::string_view no_thread_status = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\n";
+constexpr std::size_t short_write = 45; // bytes; half of the answer
+
+// What a call of sendmsg() on the faulty connection does.
+enum class send_fault : std::uint8_t { no_memory, no_buffers, interrupted, would_block, partial };
+
+// Descriptors are used again for later connections, clients' ports are not.
+int peer_port(int fd) {
+    sockaddr_in peer{};
+    socklen_t size = sizeof peer;
+    ::getpeername(fd, reinterpret_cast<sockaddr *>(&peer), &size);
+    return ntohs(peer.sin_port);
+}
+
+// Faults of one connection's writes, in order; afterwards its writes succeed.
+struct fault_script {
+    std::atomic<bool> no_threads = false; // detached threads, as the listener starts them, cannot be had
+    std::mutex lock;                      // protects what follows
+    std::vector<send_fault> send_faults;
+    std::optional<int> faulty_client; // port of the first client to which the answer is written
+    std::size_t next_fault = 0;
+
+    // The fault of this write; empty: none.
+    std::optional<send_fault> take(int fd, std::string_view text) {
+        const std::lock_guard guard(lock);
+        if (send_faults.empty())
+            return std::nullopt;
+        const int client = peer_port(fd);
+        if (!faulty_client && text.starts_with(no_thread_status))
+            faulty_client = client;
+        if (faulty_client != client || next_fault == send_faults.size())
+            return std::nullopt;
+        return send_faults[next_fault++];
+    }
+};
+
+fault_script &script() {
+    static fault_script instance;
+    return instance;
+}
+
+// Arms the faults for as long as it lives.
+class scoped_thread_shortage {
+public:
+    explicit scoped_thread_shortage(std::vector<send_fault> send_faults) {
+        {
+            const std::lock_guard guard(script().lock);
+            script().send_faults = std::move(send_faults);
+            script().faulty_client.reset();
+            script().next_fault = 0;
+        }
+        script().no_threads = true;
+    }
+    ~scoped_thread_shortage() {
+        script().no_threads = false;
+        const std::lock_guard guard(script().lock);
+        script().send_faults.clear();
+    }
+    scoped_thread_shortage(const scoped_thread_shortage &) = delete;
+    scoped_thread_shortage &operator=(const scoped_thread_shortage &) = delete;
+
+    // How many of the faults happened.
+    static std::size_t faults_taken() {
+        const std::lock_guard guard(script().lock);
+        return script().next_fault;
+    }
+};
+
+int error_of(send_fault fault) {
+    switch (fault) {
+    case send_fault::no_memory:
+        return ENOMEM;
+    case send_fault::no_buffers:
+        return ENOBUFS;
+    case send_fault::interrupted:
+        return EINTR;
+    default:
+        return EAGAIN;
+    }
+}
+
+template <typename Function> Function next_symbol(const char *name) {
+    return reinterpret_cast<Function>(dlsym(RTLD_NEXT, name));
+}
+
+} // namespace
+} // namespace harrierpass::proxy
+
+extern "C" {
+
+ssize_t sendmsg(int fd, const msghdr *message, int flags) {
+    using namespace harrierpass::proxy;
+    static const auto real = next_symbol<ssize_t (*)(int, const msghdr *, int)>("sendmsg");
+    if (message->msg_iovlen == 0)
+        return real(fd, message, flags);
+    iovec part = message->msg_iov[0];
+    const auto fault = script().take(fd, {static_cast<const char *>(part.iov_base), part.iov_len});
+    if (!fault)
+        return real(fd, message, flags);
+    if (*fault != send_fault::partial) {
+        errno = error_of(*fault);
+        return -1;
+    }
+    part.iov_len = std::min(part.iov_len, short_write);
+    msghdr shorter = *message;
+    shorter.msg_iov = &part;
+    shorter.msg_iovlen = 1;
+    return real(fd, &shorter, flags);
+}
+
+int pthread_create(pthread_t *newthread, const pthread_attr_t *attr, void *(*start_routine)(void *),
+                   void *arg) {
+    using namespace harrierpass::proxy;
+    using create = int (*)(pthread_t *, const pthread_attr_t *, void *(*)(void *), void *);
+    static const auto real = next_symbol<create>("pthread_create");
+    int detach_state = PTHREAD_CREATE_JOINABLE;
+    if (attr != nullptr)
+        pthread_attr_getdetachstate(attr, &detach_state);
+    if (detach_state == PTHREAD_CREATE_DETACHED && script().no_threads)
+        return EAGAIN;
+    return real(newthread, attr, start_routine, arg);
+}
+}
+
+namespace harrierpass::proxy {
+namespace {
+
+const std::string no_thread_response =
+    std::string(no_thread_status) + "Content-Length: 0\r\nConnection: close\r\n\r\n";
+
+} // namespace
+
+TEST_CASE("listener: a connection without a thread has its whole answer, however it is written") {
+    const std::vector<std::vector<send_fault>> cases = {
+        {},
+        {send_fault::partial},
+        {send_fault::no_memory},
+        {send_fault::no_buffers},
+        {send_fault::interrupted},
+        {send_fault::would_block},
+        {send_fault::partial, send_fault::no_memory, send_fault::interrupted, send_fault::no_buffers},
+    };
+    stand fixture;
+    for (const auto &faults : cases) {
+        CAPTURE(faults.size());
+        CAPTURE(faults.empty() ? -1 : static_cast<int>(faults.front()));
+        const scoped_thread_shortage shortage(faults);
+        toy_client client(fixture.port);
+        client.send(asks("read", "1"));
+        CHECK(client.read() == no_thread_response);
+        CHECK(client.ended());
+        CHECK(scoped_thread_shortage::faults_taken() == faults.size());
+    }
+    CHECK(fixture.executions() == 0);
+}
+
+// A connection on which nothing can be written is given up, and those that come after it are answered.
+TEST_CASE("listener: an answer that cannot be written does not stop the accepting") {
+    stand fixture;
+    {
+        const scoped_thread_shortage shortage(std::vector<send_fault>(10000, send_fault::no_memory));
+        toy_client blocked(fixture.port), next(fixture.port);
+        CHECK(blocked.read().empty());
+        CHECK(next.read() == no_thread_response);
+        CHECK(scoped_thread_shortage::faults_taken() < 10000);
+    }
+    CHECK(told(toy_client(fixture.port).ask(asks("read", "1"))) == "HTTP/1.1 200 [value]");
+}
+
+} // namespace harrierpass::proxy
