--- a/src/proxy/discovery/discovery_client.hpp
+++ b/src/proxy/discovery/discovery_client.hpp
@@ -1,106 +1,141 @@
 // SPDX-License-Identifier: Apache-2.0
-// Follows discovery's list: carries out what startup/calls.hpp says. After a loss the old list stands.
+// Follows the endpoint list of the discovery service: polls it as discovery/poll_schedule.hpp says, and
+// publishes what it believes to the router and the connection pool. After a failed poll the last list stays
+// in force.
+//
+// Threads: run() is the polling thread. Operators' calls, reconfigure() and the queries may come from any
+// thread.
 #pragma once
 
+#include "base/counters.hpp"
+#include "base/log.hpp"
 #include "discovery/poll_schedule.hpp"
+#include "net/sockets.hpp"
 #include "proxy/configuration.hpp"
+#include "proxy/discovery/endpoint_list.hpp"
+#include "proxy/discovery/endpoint_registry.hpp"
+#include "proxy/discovery/operator_overrides.hpp"
 #include "proxy/request/dispatcher.hpp"
 #include "proxy/upstream/upstream_pool.hpp"
 
 #include <atomic>
-#include <map>
-#include <set>
-#include <unordered_map>
+#include <functional>
+#include <memory>
+#include <mutex>
+#include <optional>
+#include <string>
+#include <utility>
+#include <vector>
 
 namespace harrierpass::proxy {
 
-// One message of discovery.
-struct endpoint_list {
-    struct endpoint_address {
-        std::string id, host_port;
-        endpoint_info info;
-    };
-    std::uint64_t revision = 0;
-    bool is_snapshot = false;
-    std::vector<endpoint_address> items;
-};
-
-// Throws bad_text; an entry that cannot be used is left out.
-endpoint_list read_endpoint_list(const json &from, const configuration &names);
-
 class discovery_client {
 public:
-    discovery_client(dispatcher &decides, upstream_pool &servers, counters &count, log &lines);
+    // All four must outlive it. Throws parse_error where the service's address cannot be used.
+    discovery_client(dispatcher &routing, upstream_pool &upstreams, counters &counts, log &logger);
 
-    void load_known_endpoints(); // the list that the configuration brought, or a snapshot of a later one
-    // Out by hand: nothing new goes there from the return on, whatever the list says, until it is taken back,
-    // and it is cold then. Once is enough for both. False: nobody has or had that id.
+    // Publishes the newer of the configuration's list and the snapshot file's. Before run().
+    void load_known_endpoints();
+
+    // Disables an endpoint: from the return on no new attempt or health check is written to it, whatever the
+    // list says. Idempotent. False: no endpoint has or had that id, and `unknown_too` is not set.
     bool disable(const std::string &id, bool unknown_too = false);
+
+    // Enables a disabled endpoint, which then warms up. Idempotent. False: no endpoint has or had that id.
     bool enable(const std::string &id);
-    struct operator_overrides {
-        std::set<std::string> disabled;
-        std::map<std::string, double> enabled_at; // when it came back, Unix time, s
-    };
-    void record_enabled(const std::string &id, double at); // another process's word; before the list is told
-    operator_overrides overrides();                        // a copy
-    std::pair<std::size_t, std::size_t> endpoint_counts(); // servers in the list, and of them those avoided
+
+    // Another process of this proxy enabled the endpoint at that time (Unix time, s). Before
+    // load_known_endpoints().
+    void record_enabled(const std::string &id, double enabled_at);
+
+    // A copy of what operators have disabled and enabled.
+    [[nodiscard]] operator_overrides overrides();
+
+    // How many endpoints are listed, and how many of them are disabled or avoided; without the origin.
+    [[nodiscard]] std::pair<std::size_t, std::size_t> endpoint_counts();
+
+    // Asks for a poll as soon as the schedule allows.
     void poll_now() { poll_requested_.store(true); }
-    // Another configuration: its discovery is asked for the whole list, by whose coming both take force in
-    // one step; until then list and configuration stand. The follower's thread is to be called after this.
+
+    // Polls the new configuration's service for a snapshot. With it list and configuration come into force in
+    // one step; until then the old ones stand. Throws parse_error where the address cannot be used. Wake the
+    // polling thread afterwards.
     void reconfigure(std::shared_ptr<const configuration> next);
-    // The configuration that is to come into force with its first list; null: none.
-    std::shared_ptr<const configuration> pending_configuration();
-    std::function<void(const configuration &)> on_configuration_applied; // called by the follower's thread
-    void run(const std::function<bool()> &over);                         // the thread's
-    // Discovery has answered, or has not in time; where one serves all proxies: there is a list.
-    bool ready() const { return ready_.load(); }
-    std::size_t slot_count() const { return slots_.load(); } // indices ever in use at a time
+
+    // The configuration that waits for its first list; null: none.
+    [[nodiscard]] std::shared_ptr<const configuration> pending_configuration();
+
+    // Called by the polling thread when a new configuration is in force. Set before run().
+    std::function<void(const configuration &)> on_configuration_applied;
+
+    // The polling thread's loop, until `stopped`.
+    void run(const std::function<bool()> &stopped);
+
+    // Whether clients can be served. With an agent: the first poll is over, whatever its result. With a
+    // shared service: there is a list.
+    [[nodiscard]] bool ready() const { return ready_.load(); }
+
+    // Slots that endpoints ever held at a time.
+    [[nodiscard]] std::size_t slot_count() const { return registry_.slot_count(); }
 
 private:
+    // The service's answer to a poll; neither a list nor a rejection: it failed.
     struct poll_response {
         std::optional<json> list;
         bool rejected = false;
-        double retry_after = 0; // s, where it was refused and told
+        double retry_after = 0; // s; 0: not stated
     };
-    poll_response poll(const std::string &target, double limit, const std::function<bool()> &over);
+
+    void start_schedule();
+    void use_pending_configuration();
+    void poll_once(const std::function<bool()> &interrupted);
+    poll_response send_poll(const std::string &target, double timeout,
+                            const std::function<bool()> &interrupted);
+    bool handle_response(const poll_response &response); // false: it failed
+    void on_poll_failed(const discovery::endpoint_poll &failed);
+    bool on_list(const endpoint_list &list); // false: implausible
+    void on_implausible_list(const endpoint_list &list);
     discovery::snapshot_facts facts_of(const endpoint_list &list);
-    bool on_list(const endpoint_list &list, std::shared_ptr<const configuration> &next);
-    void log_state_change(discovery::poll_state before);
-    std::string list_text(); // as it stands, in discovery's form
-    void save_snapshot(bool at_end);
-    void end_connection(const char *reason);
-    void publish(const endpoint_list &list, endpoint_update_kind kind,
-                 std::shared_ptr<const configuration> next = nullptr);
-    endpoint_info apply_overrides(const std::string &id, endpoint_info listed) const;
+    void publish(const endpoint_list &list, endpoint_update_kind kind);
+    std::vector<endpoint_info> apply_to_registry(const endpoint_list &list);
     void republish(const std::string &id);
-    index index_for(const std::string &id);
-    void retire(const endpoint_list &list, endpoint_update_kind kind);
+    void save_snapshot(bool at_end);
+    endpoint_list current_list();
+    bool is_shared_service() const;
+    void log_state_change(discovery::poll_state before);
+    void close_connection(const char *reason);
 
     dispatcher &dispatcher_;
     upstream_pool &upstream_;
     counters &counters_;
     log &log_;
-    std::mutex configuration_lock_;                           // of the next two
-    std::shared_ptr<const configuration> pending_;            // to be adopted; null: none
-    std::shared_ptr<const configuration> awaiting_list_ = {}; // the one that waits for its list; null: none
-    std::shared_ptr<const configuration>
-        configuration_; // by which lists are read now; the follower's thread's own
+
+    // Protects pending_ and awaiting_list_. The polling thread alone writes awaiting_list_, and reads it
+    // without the lock.
+    std::mutex configuration_lock_;
+    std::shared_ptr<const configuration> pending_;       // the polling thread has not seen it; null: none
+    std::shared_ptr<const configuration> awaiting_list_; // its first list has not come yet; null: none
+
+    // Held over each change of registry and overrides, and over its report to dispatcher and connection pool:
+    // both see the changes in the same order. Taken before the locks of those two.
+    std::mutex registry_lock_;
+    operator_overrides overrides_;
+    endpoint_registry registry_;
+
+    // The polling thread's own.
+    std::shared_ptr<const configuration> configuration_; // by which lists are read
     std::optional<address> address_;
-    tcp_socket socket_;       // to discovery
-    tcp_socket spare_socket_; // for the next one: guards the list against clients that hold every descriptor
+    tcp_socket socket_;       // the kept connection to the service
+    tcp_socket spare_socket_; // for the next one, so that clients cannot take its descriptor
     std::vector<char> buffer_;
-    std::mutex registry_lock_; // of what follows, up to places_
-    operator_overrides overrides_;
-    std::unordered_map<std::string, endpoint_info> endpoints_; // as the list has them, those gone left out
-    std::unordered_map<std::string, index> index_of_; // also of those gone whose index nobody else has yet
-    std::unordered_map<std::string, std::string> addresses_; // of those: host and port, as the list has them
-    std::deque<std::string> removed_;                        // these, the first to go first
-    std::atomic<index> slots_ = 0;
-    std::optional<discovery::poll_schedule> schedule_; // the follower's thread's own
-    std::optional<std::uint64_t> known_revision_;
-    bool snapshot_outdated_ = false; // the list changed since it was kept in the snapshot's file
-    double snapshot_tried_at_ = 0;   // when that was last tried
-    std::atomic<bool> poll_requested_ = true, ready_ = false, reconfigured_ = false;
+    std::optional<discovery::poll_schedule> schedule_;
+    std::optional<std::uint64_t> known_revision_; // of the list that it started with
+    bool snapshot_outdated_ = false;              // the list has changed since the file was written
+    double snapshot_tried_at_ = 0;                // Unix time, s
+
+    std::atomic<bool> poll_requested_ = true;
+    std::atomic<bool> ready_ = false;
+    std::atomic<bool> reconfigured_ = false; // there is a pending_ configuration
 };
 
 } // namespace harrierpass::proxy
--- /dev/null
+++ b/src/proxy/discovery/endpoint_list.cpp
@@ -0,0 +1,99 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "proxy/discovery/endpoint_list.hpp"
+
+#include "base/text.hpp"
+
+#include <algorithm>
+#include <array>
+#include <iomanip>
+#include <optional>
+#include <sstream>
+#include <string_view>
+#include <utility>
+
+namespace harrierpass::proxy {
+namespace {
+
+constexpr double max_cell = 1e9; // larger numbers do not fit an index
+
+// The format's names of the states.
+constexpr std::array<std::pair<std::string_view, endpoint_state>, 3> state_names = {
+    {{"active", endpoint_state::ready},
+     {"leaving", endpoint_state::draining},
+     {"left", endpoint_state::removed}}};
+
+std::optional<endpoint_state> parse_state(std::string_view name) {
+    const auto found =
+        std::ranges::find_if(state_names, [&](const auto &each) { return each.first == name; });
+    return found == state_names.end() ? std::nullopt : std::optional(found->second);
+}
+
+std::string_view name_of(endpoint_state state) {
+    return std::ranges::find_if(state_names, [&](const auto &each) { return each.second == state; })->first;
+}
+
+std::string_view name_at(const std::vector<std::string> &names, index position) {
+    return position < names.size() ? std::string_view(names[position]) : std::string_view();
+}
+
+std::string quote(std::string_view text) {
+    std::ostringstream quoted;
+    quoted << '"';
+    for (const char each : text)
+        if (each == '"' || each == '\\')
+            quoted << '\\' << each;
+        else if (static_cast<unsigned char>(each) < 0x20)
+            quoted << "\\u00" << std::hex << std::setw(2) << std::setfill('0') << int{each} << std::dec;
+        else
+            quoted << each;
+    quoted << '"';
+    return quoted.str();
+}
+
+} // namespace
+
+endpoint_list read_endpoint_list(const json &from, const configuration &names) {
+    endpoint_list list;
+    const json *members = from.find("members");
+    if (members == nullptr || members->type != json::kind::array)
+        throw parse_error{"the list has no members"};
+    list.revision =
+        parse_number<std::uint64_t>(from.string_at("revision"), "the list's revision is no number");
+    list.is_snapshot = from.string_at("complete") == "true";
+    for (const json &each : members->items) {
+        const auto state = parse_state(each.string_at("phase"));
+        endpoint_list::endpoint_address entry;
+        entry.id = each.string_at("id");
+        entry.host_port = each.string_at("host_port");
+        if (entry.id.empty() || !state)
+            continue;
+        const double cell = each.number_at("cell", -1);
+        entry.info.state = *state;
+        entry.info.started_at = each.number_at("up_since_ms", 0) / 1000;
+        entry.info.zone = index_of_name(names.zones, each.string_at("locality"));
+        entry.info.kind = index_of_name(names.kinds, each.string_at("flavor"));
+        entry.info.cell = cell < 0 || cell > max_cell ? none : static_cast<index>(cell);
+        entry.info.weight = each.number_at("size", 1);
+        list.items.push_back(std::move(entry));
+    }
+    return list;
+}
+
+std::string write_endpoint_list(const endpoint_list &list, const configuration &names) {
+    std::ostringstream text;
+    text << std::setprecision(17) << "{\"revision\":" << list.revision << ",\"complete\":true,\"members\":[";
+    const char *separator = "";
+    for (const auto &[id, host_port, info] : list.items) {
+        text << std::exchange(separator, ",") << "{\"id\":" << quote(id)
+             << ",\"host_port\":" << quote(host_port)
+             << ",\"locality\":" << quote(name_at(names.zones, info.zone))
+             << ",\"flavor\":" << quote(name_at(names.kinds, info.kind))
+             << ",\"cell\":" << (info.cell == none ? -1.0 : static_cast<double>(info.cell))
+             << ",\"phase\":" << quote(name_of(info.state)) << ",\"size\":" << info.weight
+             << ",\"up_since_ms\":" << info.started_at * 1000 << '}';
+    }
+    text << "]}";
+    return text.str();
+}
+
+} // namespace harrierpass::proxy
--- a/src/proxy/service.cpp
+++ b/src/proxy/service.cpp
@@ -179,7 +179,7 @@
     }
     for (const auto &each : state)
         apply_peer_message(each);
-    log_.info("taken-over out=", discovery_.overrides().disabled.size(), " away=", context_.is_disabled());
+    log_.info("taken-over out=", discovery_.overrides().disabled().size(), " away=", context_.is_disabled());
     return std::move(socket);
 }
 
@@ -192,9 +192,9 @@
             [this] {
                 std::vector<peer_message> made;
                 const auto hands = discovery_.overrides();
-                for (const auto &id : hands.disabled)
+                for (const auto &id : hands.disabled())
                     made.push_back({peer_message::kind::endpoint_disabled, id});
-                for (const auto &[id, at] : hands.enabled_at)
+                for (const auto &[id, at] : hands.enabled_at())
                     made.push_back({peer_message::kind::endpoint_enabled_at, std::to_string(at) + " " + id});
                 made.push_back({peer_message::kind::draining, context_.is_disabled() ? "1" : "0"});
                 made.push_back({peer_message::kind::usage, to_text(local_usage())});
