--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "proxy/service.hpp"
+#include "proxy/program.hpp"
 
-int main(int arguments, char **values) {
-    return harrierpass::proxy::run(arguments, values);
+int main(int argument_count, char **arguments) {
+    return harrierpass::proxy::run(argument_count, arguments);
 }
--- a/src/proxy/client/listener.cpp
+++ b/src/proxy/client/listener.cpp
@@ -2,227 +2,285 @@
 #include "proxy/client/listener.hpp"
 
 #include <algorithm>
+#include <array>
 #include <cerrno>
 #include <cstring>
 #include <sys/socket.h>
+#include <utility>
 
 namespace harrierpass::proxy {
 namespace {
 
-constexpr std::size_t refused_beyond = 32; // connections beyond the most whose queries are refused
-constexpr double crowd_share = 0.9;    // of the most; beyond it connections end with an answer, not at rest
-constexpr double look_period = 0.25;   // s between looks at what else there is to do
-constexpr double short_pause = 0.005;  // s until a connection is tried again for want of a descriptor
-constexpr double least_idle = 0.25;    // s; a connection used since likely has a query on its way
-constexpr double least_silence = 0.05; // s; likewise, new; clients connect when they have a query to send
-constexpr double silent_limit = 2.1;   // s without a first query; no client waits so long with one
-constexpr double once_limit =
-    2.2; // s at rest after one query where room is short; some ask once and never close
+constexpr std::size_t max_rejected_connections = 32; // beyond the maximum; their requests are rejected
+constexpr double crowded_share = 0.9;   // of the maximum; beyond it each answer closes its connection
+constexpr double spacious_share = 0.5;  // of the maximum; up to it there is room for idle connections
+constexpr double check_interval = 0.25; // s between looks for what no event announces
+constexpr double retry_pause = 0.005;   // s until a connection is accepted again that could not be
+// s idle after which a connection may be reclaimed: one used since, or a new one, likely has a request on its
+// way.
+constexpr double min_idle_after_request = 0.25;
+constexpr double min_idle_when_new = 0.05;
+constexpr double first_request_timeout = 2.1; // s; clients' deadlines are shorter
+constexpr double second_request_timeout =
+    2.2;                            // s, where room is short; some send one request and never close
+constexpr double idle_timeout = 30; // s; a client may vanish without closing
 constexpr double no_thread_write_timeout = 0.05; // s for which one answer may hold up accepting
-constexpr std::string_view no_thread_answer =
+constexpr std::string_view no_thread_response =
     "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
-constexpr double roomy_share = 0.5; // of the most connections; up to it there is room
-constexpr double rest_limit = 30;   // s at rest after more; its client may be gone without a word
+
+constexpr std::array close_reason_names = {
+    std::pair{close_reason::reclaimed, "reclaimed"},
+    std::pair{close_reason::draining, "draining"},
+    std::pair{close_reason::silent, "silent"},
+    std::pair{close_reason::idle, "idle"},
+    std::pair{close_reason::client_closed, "client_closed"},
+    std::pair{close_reason::client_reset, "client_reset"},
+    std::pair{close_reason::no_memory, "no_memory"},
+    std::pair{close_reason::failed, "failed"},
+    std::pair{close_reason::no_thread, "no_thread"},
+};
 
 } // namespace
 
+const char *name_of(close_reason reason) {
+    return std::ranges::find_if(close_reason_names, [&](const auto &each) { return each.first == reason; })
+        ->second;
+}
+
 void listener::run() {
-    double tidied = 0;
-    bool told_stop = false, told_close = false; // the connections at rest
-    for (;;) {
-        const bool takes = !has_successor();
-        pollfd in{takes ? socket_.get() : -1, POLLIN, 0};
+    double stale_closed_at = 0;
+    do {
+        const bool accepts = !has_successor();
+        pollfd incoming{accepts ? socket_.get() : -1, POLLIN, 0};
         const double now = context_.routing.now();
-        wait_on({&in, 1}, context_.draining() ? short_pause : look_period);
-        while (takes && !has_successor() && accept_one()) {
-        }
-        if (now - tidied > look_period) {
-            tidied = now;
+        wait_on({&incoming, 1}, context_.draining() ? retry_pause : check_interval);
+        if (accepts)
+            accept_all();
+        if (now - stale_closed_at > check_interval) {
+            stale_closed_at = now;
             context_.upstreams.close_stale(now);
         }
-        // Told of the stop as well as of the close: from the first on each waits for the second by itself.
-        const bool stop = context_.draining(), close = context_.closes_idle();
-        if ((stop && !told_stop) || (close && !told_close))
-            wake_all();
-        told_stop = stop;
-        told_close = close;
-        if (context_.is_closing() && context_.routing.now() >= context_.accept_until && connections() == 0)
-            break;
-    }
-    // Whoever connected since the last look is served still, also while the last ones end.
-    const auto take_all = [this] {
-        while (!has_successor() && accept_one()) {
-        }
-    };
-    for (take_all(); connections() > 0; take_all())
-        wait_on({}, short_pause);
+        notify_of_stop();
+    } while (!context_.is_closing() || context_.routing.now() < context_.accept_until || connections() > 0);
+    // Connections that came since the last look are still served, also while the last ones end.
+    for (accept_all(); connections() > 0; accept_all())
+        wait_on({}, retry_pause);
     socket_.close();
 }
 
-// False: none is waiting, or none can be had now.
+// Wakes the connections' threads when a drain begins, so that each waits for the time of closing, and when
+// that time has come.
+void listener::notify_of_stop() {
+    const bool draining = context_.draining(), closing = context_.closes_idle();
+    if ((draining && !notified_of_drain_) || (closing && !notified_of_close_))
+        wake_all();
+    notified_of_drain_ = draining;
+    notified_of_close_ = closing;
+}
+
+void listener::accept_all() {
+    while (!has_successor() && accept_one()) {
+    }
+}
+
 bool listener::accept_one() {
     const auto open = connections();
-    // Guards clients whose own limit is a third of the descriptors: what others leave at rest must not fill
-    // it.
     const bool made_room = open >= reclaim_threshold_ && close_one_idle();
-    if (!made_room && open >= max_connections_ + refused_beyond) {
-        wait_on({}, short_pause);
+    if (!made_room && open >= max_connections_ + max_rejected_connections) {
+        wait_on({}, retry_pause);
         return false;
     }
     address peer;
-    client_connection from;
-    from.socket = accept_on(socket_, peer);
-    if (!from.socket) {
-        const int why = errno;
-        if (why == EAGAIN || why == EWOULDBLOCK || why == ECONNABORTED || why == EINTR)
-            return why != EAGAIN && why != EWOULDBLOCK;
-        context_.logger.warning("accept-failed error=", std::strerror(why));
-        if (is_local_shortage(why) && !close_one_idle())
-            context_.upstreams.close_oldest_idle(context_.routing.now());
-        wait_on({}, short_pause);
-        return false;
-    }
+    client_connection connection;
+    connection.socket = accept_on(socket_, peer);
+    if (!connection.socket)
+        return on_accept_failed(errno);
     context_.counts.add(counter::client_connections_accepted);
     context_.upstreams.reserve_for_clients(connections() + 1, context_.routing.now());
-    connection_entry *me = nullptr;
+    connection_entry *entry = nullptr;
     try {
-        {
-            const std::lock_guard hold(lock_);
-            // Guards against refusing a query while an idle connection, told to make room, is on its way out.
-            const auto ending =
-                std::count_if(entries_.begin(), entries_.end(),
-                              [](const connection_entry &each) { return each.must_close.load(); });
-            from.over_capacity = entries_.size() >= max_connections_ + static_cast<std::size_t>(ending);
-            me = &entries_.emplace_back();
-        }
-        const auto shared = std::make_shared<client_connection>(std::move(from));
-        if (start_detached([this, me, shared, at = to_text(peer)] { serve(*me, std::move(*shared), at); }))
+        entry = &add_entry(connection);
+        const auto shared = std::make_shared<client_connection>(std::move(connection));
+        if (start_detached(
+                [this, entry, shared, at = to_text(peer)] { serve(*entry, std::move(*shared), at); }))
             return true;
         // The client may have sent its request already, so it has a whole answer.
-        write_all(shared->socket, no_thread_answer, {}, no_thread_write_timeout);
-        close_gracefully(shared->socket, short_pause, buffer_size);
-    } catch (const std::bad_alloc &) { // ends as for want of a thread
+        write_all(shared->socket, no_thread_response, {}, no_thread_write_timeout);
+        close_gracefully(shared->socket, retry_pause, buffer_size);
+    } catch (const std::bad_alloc &) { // closed as for want of a thread
     }
-    context_.logger.warning("connection-end side=client peer=", to_text(peer),
-                            " queries=0 open=0 reason=no_thread");
-    close_one_idle(); // whose thread is free then
-    context_.counts.add(counter::client_connections_closed);
-    const std::lock_guard hold(lock_);
-    entries_.remove_if([&](const connection_entry &each) { return &each == me; });
+    reject_without_thread(entry, to_text(peer));
+    return false;
+}
+
+bool listener::on_accept_failed(int error) {
+    if (error == EAGAIN || error == EWOULDBLOCK)
+        return false;
+    if (error == ECONNABORTED || error == EINTR)
+        return true;
+    context_.logger.warning("accept-failed error=", std::strerror(error));
+    if (is_local_shortage(error) && !close_one_idle())
+        context_.upstreams.close_oldest_idle(context_.routing.now());
+    wait_on({}, retry_pause);
     return false;
 }
 
-void listener::serve(connection_entry &me, client_connection from, const std::string &peer) {
+listener::connection_entry &listener::add_entry(client_connection &connection) {
+    const std::lock_guard guard(lock_);
+    // Those that close to make room do not count: a request is not rejected while they are on their way out.
+    const auto closing = std::count_if(entries_.begin(), entries_.end(),
+                                       [](const connection_entry &each) { return each.must_close.load(); });
+    connection.over_capacity = entries_.size() >= max_connections_ + static_cast<std::size_t>(closing);
+    return entries_.emplace_back();
+}
+
+void listener::remove_entry(const connection_entry &entry) {
+    const std::lock_guard guard(lock_);
+    entries_.remove_if([&](const connection_entry &each) { return &each == &entry; });
+}
+
+// `entry`: null where there was no memory for one. Closes an idle connection, whose thread is then free.
+void listener::reject_without_thread(const connection_entry *entry, const std::string &peer) {
+    context_.logger.warning("connection-end side=client peer=", peer,
+                            " queries=0 open=0 reason=", name_of(close_reason::no_thread));
+    close_one_idle();
+    context_.counts.add(counter::client_connections_closed);
+    if (entry != nullptr)
+        remove_entry(*entry);
+}
+
+void listener::serve(connection_entry &entry, client_connection connection, const std::string &peer) {
     {
-        const std::lock_guard hold(lock_);
-        me.thread = pthread_self();
-        me.started = true;
+        const std::lock_guard guard(lock_);
+        entry.thread = pthread_self();
+        entry.started = true;
     }
-    from.connected_at = context_.routing.now();
-    const char *reason = nullptr;
+    connection.connected_at = context_.routing.now();
+    const char *const reason = serve_requests(entry, connection);
+    connection.socket.close();
+    connection.buffer.reset();
+    context_.upstreams.reserve_for_clients(connections() - 1, context_.routing.now());
+    context_.counts.add(counter::client_connections_closed);
+    context_.logger.info("connection-end side=client peer=", peer, " queries=", connection.requests,
+                         " open=", context_.routing.now() - connection.connected_at,
+                         " rested=", entry.idle_before, " stopping-for=", context_.time_since_stop(),
+                         " reason=", reason);
+    remove_entry(entry);
+}
+
+// Until the connection is to close; returns the reason's name.
+const char *listener::serve_requests(connection_entry &entry, client_connection &connection) {
     try {
-        while (reason == nullptr) {
-            if (!from.buffer)
-                reason = await_request(me, from);
-            if (reason == nullptr) {
-                from.closes_after_response = me.must_close || fuller_than(crowd_share);
-                ++from.requests;
-                reason = serve_request(context_, from);
-            }
+        for (;;) {
+            if (!connection.buffer)
+                if (const auto reason = await_request(entry, connection))
+                    return name_of(*reason);
+            connection.closes_after_response = entry.must_close || exceeds(crowded_share);
+            ++connection.requests;
+            if (const char *const reason = serve_request(context_, connection))
+                return reason;
         }
     } catch (const std::bad_alloc &) {
-        reason = "no_memory";
-    } catch (const std::exception &failed) {
-        context_.logger.error("query-failed error=", failed.what());
-        reason = "failed";
+        return name_of(close_reason::no_memory);
+    } catch (const std::exception &error) {
+        context_.logger.error("query-failed error=", error.what());
+        return name_of(close_reason::failed);
     }
-    from.socket.close();
-    from.buffer.reset();
-    context_.upstreams.reserve_for_clients(connections() - 1, context_.routing.now());
-    context_.counts.add(counter::client_connections_closed);
-    context_.logger.info("connection-end side=client peer=", peer, " queries=", from.requests,
-                         " open=", context_.routing.now() - from.connected_at, " rested=", me.rested,
-                         " stopping-for=", context_.time_since_stop(), " reason=", reason);
-    const std::lock_guard hold(lock_);
-    entries_.remove_if([&](const connection_entry &each) { return &each == &me; });
 }
 
-// Rests without a buffer until bytes come (null) or the connection is to end.
-const char *listener::await_request(connection_entry &me, client_connection &from) {
-    set_idle(me, true);
-    me.has_sent_request = from.requests > 0;
+// Waits without a buffer until bytes come (empty) or the connection is to close.
+std::optional<close_reason> listener::await_request(connection_entry &entry, client_connection &connection) {
+    set_idle(entry, true);
+    entry.has_sent_request = connection.requests > 0;
     const double since = context_.routing.now();
-    const double limit = from.requests == 0 ? silent_limit : rest_limit;
-    const char *reason = nullptr;
-    auto there = peek(from.socket);
-    while (there == peek_result::empty && reason == nullptr) {
-        const bool closing = context_.closes_idle();
-        const double rested = context_.routing.now() - since;
-        if (me.must_close)
-            reason = "reclaimed";
-        else if (closing && rested >= context_.idle_close_delay())
-            reason = "draining";
-        else if (rested >= limit)
-            reason = from.requests == 0 ? "silent" : "idle";
-        // Guards clients whose other connections all end: while there is room, one query may be the first of
-        // many.
-        else if (from.requests == 1 && rested >= once_limit && fuller_than(roomy_share))
-            reason = "idle";
-        pollfd in{from.socket.get(), POLLIN, 0};
-        // Cut short, as a call that tells it to end may be lost.
+    const double timeout = connection.requests == 0 ? first_request_timeout : idle_timeout;
+    std::optional<close_reason> reason;
+    auto found = peek(connection.socket);
+    while (found == peek_result::empty && !reason) {
+        const double idle_for = context_.routing.now() - since;
+        reason = idle_close_reason(entry, connection, idle_for);
+        pollfd incoming{connection.socket.get(), POLLIN, 0};
+        // Bounded, as a wake-up may be missed.
         const double until_close = context_.draining() ? std::max(context_.close_at - context_.routing.now(),
-                                                                  context_.idle_close_delay() - rested)
-                                                       : look_period;
-        wait_on({&in, 1}, reason != nullptr ? 0 : std::min({look_period, until_close, limit - rested}));
-        // Guards "no query is lost": whatever the cause to end, bytes are looked for after it and once more.
-        there = peek(from.socket);
+                                                                  context_.idle_close_delay() - idle_for)
+                                                       : check_interval;
+        wait_on({&incoming, 1}, reason ? 0 : std::min({check_interval, until_close, timeout - idle_for}));
+        // Whatever the reason to close, a request that has come meanwhile goes first.
+        found = peek(connection.socket);
     }
-    set_idle(me, false);
-    me.rested = context_.routing.now() - since;
-    return there == peek_result::data     ? nullptr
-           : there == peek_result::closed ? "client_closed"
-           : there == peek_result::reset  ? "client_reset"
-                                          : reason;
+    set_idle(entry, false);
+    entry.idle_before = context_.routing.now() - since;
+    switch (found) {
+    case peek_result::data:
+        return std::nullopt;
+    case peek_result::closed:
+        return close_reason::client_closed;
+    case peek_result::reset:
+        return close_reason::client_reset;
+    case peek_result::empty:
+        break;
+    }
+    return reason;
 }
 
-void listener::set_idle(connection_entry &me, bool idle) {
-    const std::lock_guard hold(lock_);
-    me.idle = idle;
-    me.idle_since = context_.routing.now();
+// Empty: the connection stays.
+std::optional<close_reason> listener::idle_close_reason(const connection_entry &entry,
+                                                        const client_connection &connection,
+                                                        double idle_for) {
+    if (entry.must_close)
+        return close_reason::reclaimed;
+    if (context_.closes_idle() && idle_for >= context_.idle_close_delay())
+        return close_reason::draining;
+    if (connection.requests == 0)
+        return idle_for >= first_request_timeout ? std::optional(close_reason::silent) : std::nullopt;
+    if (idle_for >= idle_timeout)
+        return close_reason::idle;
+    if (connection.requests == 1 && idle_for >= second_request_timeout && exceeds(spacious_share))
+        return close_reason::idle;
+    return std::nullopt;
 }
 
-// Tells one connection at rest to end: first those that never asked, as they may be silent for ever, then the
-// one that has rested longest. False: there is none.
+void listener::set_idle(connection_entry &entry, bool idle) {
+    const std::lock_guard guard(lock_);
+    entry.idle = idle;
+    entry.idle_since = context_.routing.now();
+}
+
+// Tells one idle connection to close: first those that never sent a request, as they may be silent for ever,
+// then the one that has been idle the longest. False: there is none.
 bool listener::close_one_idle() {
     const double now = context_.routing.now();
-    const std::lock_guard hold(lock_);
-    connection_entry *longest = nullptr;
-    for (auto &each : entries_)
-        if (each.idle && !each.must_close &&
-            now - each.idle_since > (each.has_sent_request ? least_idle : least_silence) &&
-            (longest == nullptr || std::pair(each.has_sent_request.load(), each.idle_since) <
-                                       std::pair(longest->has_sent_request.load(), longest->idle_since)))
-            longest = &each;
-    if (longest == nullptr)
+    const auto rank = [](const connection_entry &entry) {
+        return std::pair(entry.has_sent_request.load(), entry.idle_since);
+    };
+    const std::lock_guard guard(lock_);
+    connection_entry *chosen = nullptr;
+    for (auto &each : entries_) {
+        const double min_idle = each.has_sent_request ? min_idle_after_request : min_idle_when_new;
+        const bool closable = each.idle && !each.must_close && now - each.idle_since > min_idle;
+        if (closable && (chosen == nullptr || rank(each) < rank(*chosen)))
+            chosen = &each;
+    }
+    if (chosen == nullptr)
         return false;
-    longest->must_close = true;
-    wake_thread(longest->thread);
+    chosen->must_close = true;
+    wake_thread(chosen->thread);
     return true;
 }
 
 void listener::wake_all() {
-    const std::lock_guard hold(lock_);
+    const std::lock_guard guard(lock_);
     for (auto &each : entries_)
         if (each.started)
             wake_thread(each.thread);
 }
 
-bool listener::fuller_than(double share) {
+bool listener::exceeds(double share) {
     return static_cast<double>(connections()) > static_cast<double>(max_connections_) * share;
 }
 
 std::size_t listener::connections() {
-    const std::lock_guard hold(lock_);
+    const std::lock_guard guard(lock_);
     return entries_.size();
 }
 
--- a/src/proxy/client/listener.hpp
+++ b/src/proxy/client/listener.hpp
@@ -1,57 +1,98 @@
 // SPDX-License-Identifier: Apache-2.0
-// Takes clients' connections and gives each a thread; ends idle ones when room runs short.
+// Accepts clients' connections and gives each a thread of its own; closes idle ones when there is little room
+// left for further ones.
 #pragma once
 
 #include "proxy/request/request_session.hpp"
 
 #include <algorithm>
+#include <atomic>
+#include <cstdint>
+#include <functional>
 #include <list>
+#include <mutex>
+#include <optional>
+#include <string>
 
 namespace harrierpass::proxy {
 
+// Why the listener closes a client's connection. A request's own reasons are serve_request()'s.
+enum class close_reason : std::uint8_t {
+    reclaimed,     // idle, while others need its room
+    draining,      // idle, while the proxy sends its clients away
+    silent,        // no request since it was accepted
+    idle,          // no further request
+    client_closed, // the client's end
+    client_reset,
+    no_memory,
+    failed,
+    no_thread,
+};
+
+// The reason's name in the log.
+[[nodiscard]] const char *name_of(close_reason reason);
+
 class listener {
 public:
-    // `most`: connections; somewhat beyond it queries are refused, further ones wait to be accepted. From
-    // `tight` on one at rest ends for each that comes.
-    listener(proxy_context &with, tcp_socket on, std::size_t most, std::size_t tight)
-        : context_(with), socket_(std::move(on)), max_connections_(most),
-          reclaim_threshold_(std::min(most, tight)) {}
-
-    // So many connections from now on; another process of this proxy has the others.
-    void set_capacity(std::size_t most, std::size_t tight) {
-        max_connections_ = most;
-        reclaim_threshold_ = std::min(most, tight);
+    // At `max_connections` further connections have their requests rejected, and somewhat above it they are
+    // not accepted. From `reclaim_threshold` on one idle connection is closed for each that is accepted.
+    listener(proxy_context &context, tcp_socket listening, std::size_t max_connections,
+             std::size_t reclaim_threshold)
+        : context_(context), socket_(std::move(listening)), max_connections_(max_connections),
+          reclaim_threshold_(std::min(max_connections, reclaim_threshold)) {}
+
+    // Changes both limits, as another process of this proxy holds other connections. Any thread.
+    void set_capacity(std::size_t max_connections, std::size_t reclaim_threshold) {
+        max_connections_ = max_connections;
+        reclaim_threshold_ = std::min(max_connections, reclaim_threshold);
     }
-    // Asked before each connection that is taken: whether another process takes them now.
+
+    // Whether another process accepts the connections now; asked before each one. Set before run().
     std::function<bool()> has_successor = [] { return false; };
-    const tcp_socket &socket() const { return socket_; }
-    std::size_t connections();
-    // The accepting thread's. Ends once connections are to close and nothing is left.
+
+    // The listening socket.
+    [[nodiscard]] const tcp_socket &socket() const { return socket_; }
+
+    // How many connections are open. Any thread.
+    [[nodiscard]] std::size_t connections();
+
+    // The accepting thread's loop. Returns once connections are to close and none is left.
     void run();
 
 private:
+    // A connection as the accepting thread knows it. Removed by the connection's thread at its end.
     struct connection_entry {
-        pthread_t thread{};
-        bool started = false;
-        bool idle = false;
-        double idle_since = 0;
-        double rested = 0;                          // s at rest before its latest request, or before its end
-        std::atomic<bool> has_sent_request = false; // has brought a query before
-        std::atomic<bool> must_close = false;
+        pthread_t thread{};     // valid once `started`
+        bool started = false;   // with the next two under lock_
+        bool idle = false;      // its thread waits for a request
+        double idle_since = 0;  // Unix time, s
+        double idle_before = 0; // s idle before its latest request or its end; its thread's own
+        std::atomic<bool> has_sent_request = false;
+        std::atomic<bool> must_close = false; // to make room
     };
 
-    bool accept_one();
+    bool accept_one(); // false: none is waiting, or none can be accepted now
+    void accept_all();
+    bool on_accept_failed(int error); // true: another may be accepted at once
+    connection_entry &add_entry(client_connection &connection);
+    void remove_entry(const connection_entry &entry);
+    void reject_without_thread(const connection_entry *entry, const std::string &peer);
+    void notify_of_stop();
     void wake_all();
-    void serve(connection_entry &me, client_connection from, const std::string &peer);
-    const char *await_request(connection_entry &me, client_connection &from);
-    void set_idle(connection_entry &me, bool idle);
+    void serve(connection_entry &entry, client_connection connection, const std::string &peer);
+    const char *serve_requests(connection_entry &entry, client_connection &connection);
+    std::optional<close_reason> await_request(connection_entry &entry, client_connection &connection);
+    std::optional<close_reason> idle_close_reason(const connection_entry &entry,
+                                                  const client_connection &connection, double idle_for);
+    void set_idle(connection_entry &entry, bool idle);
     bool close_one_idle();
-    bool fuller_than(double share); // of the most connections
+    bool exceeds(double share); // more connections are open than this share of the maximum
 
     proxy_context &context_;
     tcp_socket socket_;
     std::atomic<std::size_t> max_connections_, reclaim_threshold_;
-    std::mutex lock_;
+    bool notified_of_drain_ = false, notified_of_close_ = false; // the accepting thread's own
+    std::mutex lock_;                                            // protects entries_
     std::list<connection_entry> entries_;
 };
 
