--- a/src/proxy/configuration.cpp
+++ b/src/proxy/configuration.cpp
@@ -5,22 +5,27 @@
 
 #include <algorithm>
 #include <array>
+#include <charconv>
+#include <cstdint>
 #include <cstdlib>
 #include <sstream>
 
 namespace harrierpass::proxy {
 namespace {
 
-constexpr double grace_share = 0.25; // of a drain's grace, for an answer and for the pause after a loss
-constexpr double prompt_watch = 1;   // s that a watch waits where calls cost nothing
-constexpr double usual_watch = 5;    // s that it waits elsewhere
-constexpr double usual_limit = 0.7;  // s for an answer beside that
-// s, the longest pause after a lost call of an agent, before chance makes it half as much again. A change
-// counts as told 6 s after the list service had it and could be reached; in them fit a call that was begun
-// just before, with its dial, this pause, and another call (docs/crossings.md).
-constexpr double most_pause = 1.5;
-constexpr double usual_age = 86400; // s that a snapshot may be old
-constexpr double most_lists = 1e6;  // a second
+constexpr double agent_grace_share = 0.25; // of a drain's grace: for a response, and for the backoff
+constexpr double min_agent_timeout = 0.1;  // s
+constexpr double max_agent_timeout = 1;    // s
+constexpr double default_drain_grace = 2;  // s
+constexpr double agent_watch_timeout = 1;  // s, where polls cost nothing
+constexpr double watch_timeout = 5;        // s, elsewhere
+constexpr double response_timeout = 0.7;   // s, beside the watch's
+// s; the longest backoff after an agent's failed poll, before jitter. A change must be known 6 s after the
+// service had it: in them fit a poll begun just before, this backoff, and another poll (docs/crossings.md).
+constexpr double max_agent_backoff = 1.5;
+constexpr double default_snapshot_max_age = 86400; // s
+constexpr double max_snapshots_per_second = 1e6;
+constexpr std::uint64_t seed_modulus = 2147483647; // of std::minstd_rand
 
 // An object's values by path, as the shared reader wants them: lists have their length under "path.count".
 void flatten(const json &from, const std::string &path, field_reader &to) {
@@ -45,24 +50,25 @@
     return names;
 }
 
-std::string needed(const json &from, std::string_view name, const char *fault) {
+// Throws with that message where the field is missing or empty.
+std::string required_string(const json &from, std::string_view name, const char *fault) {
     const auto text = from.string_at(name);
     if (text.empty())
         throw parse_error{fault};
     return std::string(text);
 }
 
-double bounded(const json &from, std::string_view name, double absent, double least, double most) {
+double startup_number(const json &from, std::string_view name, double absent, double min, double max) {
     const double value = from.number_at(name, absent);
-    if (!(value >= least && value <= most)) {
-        std::ostringstream why;
-        why << "startup." << name << " is " << value << ", not from " << least << " to " << most;
-        throw parse_error{why.str()};
+    if (!(value >= min && value <= max)) {
+        std::ostringstream message;
+        message << "startup." << name << " is " << value << ", not from " << min << " to " << max;
+        throw parse_error{message.str()};
     }
     return value;
 }
 
-// The part of our own that other installations may have: how the list service is asked, and what is kept.
+// The optional `startup` object: how the list service is polled, and the snapshot file.
 void read_startup(const json &all, configuration &to) {
     to.poll.proxy_count = to.router.proxy_count;
     const json *from = all.find("startup");
@@ -80,80 +86,97 @@
     to.poll.service =
         service == "shared" ? discovery::list_service_kind::shared : discovery::list_service_kind::agent;
     to.poll.snapshots_per_second =
-        bounded(*from, "lists_per_s", to.poll.snapshots_per_second, 0.01, most_lists);
+        startup_number(*from, "lists_per_s", to.poll.snapshots_per_second, 0.01, max_snapshots_per_second);
     to.snapshot_path = from->string_at("snapshot");
-    to.snapshot_max_age = bounded(*from, "snapshot_age_s", usual_age, 1, 1e9);
+    to.snapshot_max_age = startup_number(*from, "snapshot_age_s", default_snapshot_max_age, 1, 1e9);
 }
 
-} // namespace
-
-configuration read_configuration(std::string_view text) {
-    const json all = read_json(text);
-    const json *given = all.find("settings");
-    if (given == nullptr || given->type != json::kind::object)
-        throw parse_error{"the configuration has no settings"};
-    configuration made;
-    made.name = all.string_at("name");
-    made.listen = needed(all, "listen", "the configuration has no address to listen on");
-    made.discovery = needed(all, "discovery", "the configuration has no address of discovery");
-    made.control = all.string_at("control");
-    if (const char *told = std::getenv("BALANCER_CONTROL"); made.control.empty() && told != nullptr)
-        made.control = told;
+std::uint32_t read_seed(const json &all) {
     std::uint64_t seed = 1;
     if (const auto digits = all.string_at("seed"); !digits.empty()) {
         const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), seed, 16);
         if (error != std::errc{} || end != digits.data() + digits.size())
             throw parse_error{"the seed is no hexadecimal number"};
     }
-    made.seed = static_cast<std::uint32_t>(seed % 2147483647U);
+    return static_cast<std::uint32_t>(seed % seed_modulus);
+}
+
+// What is no setting of the deployment: name, addresses, seed, limits of the process, the known list.
+void read_process_fields(const json &all, configuration &to) {
+    to.name = all.string_at("name");
+    to.listen = required_string(all, "listen", "the configuration has no address to listen on");
+    to.discovery = required_string(all, "discovery", "the configuration has no address of discovery");
+    to.control = all.string_at("control");
+    if (const char *control = std::getenv("BALANCER_CONTROL"); to.control.empty() && control != nullptr)
+        to.control = control;
+    to.seed = read_seed(all);
     if (const json *limits = all.find("limits")) {
-        made.memory_mb = std::clamp(limits->number_at("memory_mb", made.memory_mb), 32.0, 1e6);
-        made.max_descriptors =
-            static_cast<index>(std::clamp(limits->number_at("sockets", made.max_descriptors), 64.0, 1e5));
+        to.memory_mb = std::clamp(limits->number_at("memory_mb", to.memory_mb), 32.0, 1e6);
+        to.max_descriptors =
+            static_cast<index>(std::clamp(limits->number_at("sockets", to.max_descriptors), 64.0, 1e5));
     }
     if (const json *known = all.find("known"))
-        made.known_endpoints = *known;
-
-    field_reader paths;
-    flatten(*given, "", paths);
-    made.router = read_router_settings(paths);
-    // On sockets a list is told to those who ask, also where the simulator tells it by itself: the router
-    // then says when to ask again after a loss.
-    made.router.constraints.watch_required = true;
-    read_startup(all, made);
-    made.poll.max_poll_interval = made.router.constraints.max_poll_interval;
-    made.poll.agent_watch_timeout = usual_watch;
-    made.poll.agent_response_timeout = usual_limit;
-    if (made.poll.service == discovery::list_service_kind::agent) {
-        auto &ask_in = made.router.constraints.max_poll_interval;
-        ask_in = std::min(ask_in, most_pause);
-        if (paths.text("discovery") != "subscribe") {
-            // Guards "drains are kept": what the agent beside the proxy has counts as told, asked for or not.
-            // So a silent agent is found out and asked again well within the grace; there that costs nobody
-            // anything.
-            const double part = std::clamp(paths.seconds("rules.drainGraceMs", 2) * grace_share, 0.1, 1.0);
-            ask_in = std::min(ask_in, part);
-            made.poll.agent_response_timeout = part;
-            made.poll.agent_watch_timeout = prompt_watch;
-        }
-    }
-    made.request_classes = names_in(*given, "useCases", "name");
-    made.tenants = names_in(*given, "tenants", "name");
-    made.zones = names_in(*given, "zones", "name");
-    made.kinds = names_in(*given, "shapes", "name");
-    // Guards against a place that is in no list: no server would ever be own, or the origin.
-    if (made.router.local_zone != none && !made.zones.empty() && made.router.local_zone >= made.zones.size())
+        to.known_endpoints = *known;
+}
+
+// How often the list service is polled, and how long a poll may take.
+void set_poll_timeouts(const field_reader &settings, configuration &to) {
+    to.poll.max_poll_interval = to.router.constraints.max_poll_interval;
+    to.poll.agent_watch_timeout = watch_timeout;
+    to.poll.agent_response_timeout = response_timeout;
+    if (to.poll.service != discovery::list_service_kind::agent)
+        return;
+    auto &poll_interval = to.router.constraints.max_poll_interval;
+    poll_interval = std::min(poll_interval, max_agent_backoff);
+    if (settings.text("discovery") == "subscribe")
+        return;
+    // A change counts as known once the agent beside the proxy has it. So a silent agent is polled again well
+    // within a drain's grace.
+    const double timeout =
+        std::clamp(settings.seconds("rules.drainGraceMs", default_drain_grace) * agent_grace_share,
+                   min_agent_timeout, max_agent_timeout);
+    poll_interval = std::min(poll_interval, timeout);
+    to.poll.agent_response_timeout = timeout;
+    to.poll.agent_watch_timeout = agent_watch_timeout;
+}
+
+// The lists of names, and what refers to them. Throws where the own zone or the origin's kind is in none.
+void read_names(const json &settings, const field_reader &fields, configuration &to) {
+    to.request_classes = names_in(settings, "useCases", "name");
+    to.tenants = names_in(settings, "tenants", "name");
+    to.zones = names_in(settings, "zones", "name");
+    to.kinds = names_in(settings, "shapes", "name");
+    if (to.router.local_zone != none && !to.zones.empty() && to.router.local_zone >= to.zones.size())
         throw parse_error{"settings.locality is none of settings.zones"};
-    if (paths.text("familyInfo.mode") == "aside" && made.router.origin_kind >= made.kinds.size())
+    if (fields.text("familyInfo.mode") == "aside" && to.router.origin_kind >= to.kinds.size())
         throw parse_error{"settings.familyInfo.originKind is none of settings.shapes"};
-    for (index i = 0; i < made.request_classes.size(); ++i)
-        made.request_timeouts.push_back(
-            paths.seconds("useCases." + std::to_string(i) + ".statementTimeoutMs", 1));
-    made.connect_timeout =
-        std::clamp(paths.seconds("limits.dialTimeoutMs", made.connect_timeout), 0.001, 60.0);
-    made.upstream_idle_timeout =
-        std::clamp(paths.seconds("limits.connIdleMs", made.upstream_idle_timeout), 0.001, 3600.0);
-    return made;
+    for (index i = 0; i < to.request_classes.size(); ++i)
+        to.request_timeouts.push_back(
+            fields.seconds("useCases." + std::to_string(i) + ".statementTimeoutMs", 1));
+}
+
+} // namespace
+
+configuration read_configuration(std::string_view text) {
+    const json all = read_json(text);
+    const json *settings = all.find("settings");
+    if (settings == nullptr || settings->type != json::kind::object)
+        throw parse_error{"the configuration has no settings"};
+    configuration result;
+    read_process_fields(all, result);
+    field_reader fields;
+    flatten(*settings, "", fields);
+    result.router = read_router_settings(fields);
+    // A proxy on sockets polls for the list, also where the simulator announces it.
+    result.router.constraints.watch_required = true;
+    read_startup(all, result);
+    set_poll_timeouts(fields, result);
+    read_names(*settings, fields, result);
+    result.connect_timeout =
+        std::clamp(fields.seconds("limits.dialTimeoutMs", result.connect_timeout), 0.001, 60.0);
+    result.upstream_idle_timeout =
+        std::clamp(fields.seconds("limits.connIdleMs", result.upstream_idle_timeout), 0.001, 3600.0);
+    return result;
 }
 
 index index_of_name(const std::vector<std::string> &names, std::string_view name) {
--- a/src/proxy/discovery/snapshot_file.hpp
+++ b/src/proxy/discovery/snapshot_file.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// The file of a snapshot: written aside, brought to the disk and renamed, so that a process that is killed at
-// any time leaves the last whole one or the next.
+// The snapshot's file: written beside its place, synced and renamed, so that a process that is killed at any
+// time leaves the last whole one or the next.
 #pragma once
 
 #include "discovery/endpoint_snapshot.hpp"
@@ -10,15 +10,16 @@
 
 namespace harrierpass::proxy {
 
-// Whether the file holds it now; else errno tells.
+// Replaces the file. False: the old one stands, and errno has the reason.
 bool write_snapshot(const std::string &path, const std::string &text);
 
+// What a snapshot's file holds.
 struct snapshot_load_result {
-    const char *fault = nullptr; // why there is none: absent, unreadable, unusable or a snapshot_fault's name
-    json list;                   // in discovery's form
+    const char *fault = nullptr; // null: usable; else absent, unreadable, unusable or a snapshot_fault's name
+    json list;                   // in the discovery service's format
     double age = 0;              // s
 };
-// `now`: Unix time, s.
-snapshot_load_result load_snapshot(const configuration &given, double now);
+// Reads the file that the configuration names. `now`: Unix time, s.
+[[nodiscard]] snapshot_load_result load_snapshot(const configuration &settings, double now);
 
 } // namespace harrierpass::proxy
--- a/src/proxy/operations/control_server.cpp
+++ b/src/proxy/operations/control_server.cpp
@@ -14,12 +14,12 @@
 
 using std::string_view;
 
-constexpr std::size_t call_size = 4096; // bytes of a call; a target and a few fields
-constexpr double call_limit = 4.5;      // s for a call to come whole; some say nothing for 4 s
-constexpr double linger_limit = 0.5;    // s in which a caller may still read its answer
-constexpr double write_limit = 0.1;     // s; a page fits into the system's buffer, so it is never waited for
-constexpr double short_pause = 0.005;   // s until a caller is accepted again that could not be
-constexpr double look_period = 0.25;    // s between looks at who has stayed too long
+constexpr std::size_t max_request_size = 4096; // bytes
+constexpr double request_timeout = 4.5;        // s for a request to come whole
+constexpr double linger_timeout = 0.5;         // s for the client to read its response and close
+constexpr double write_timeout = 0.1;          // s; a page fits into the socket's buffer
+constexpr double accept_retry_pause = 0.005;   // s until a connection is accepted again that could not be
+constexpr double check_interval = 0.25;        // s between looks for timeouts
 
 // The one value of `target` in a query string; empty, with the fault named, where it is not there once.
 std::string target_of(string_view query, const char *&fault) {
@@ -57,8 +57,8 @@
 
 } // namespace
 
-control_server::control_server(tcp_socket on, control_handlers calls)
-    : socket_(std::move(on)), handlers_(std::move(calls)) {
+control_server::control_server(tcp_socket listening, control_handlers handlers)
+    : socket_(std::move(listening)), handlers_(std::move(handlers)) {
     thread_.emplace([this] { run(); });
 }
 
@@ -69,30 +69,30 @@
 }
 
 void control_server::run() {
-    std::vector<pollfd> waits;
+    std::vector<pollfd> polled;
     while (!over_) {
-        waits.assign(1, {socket_.get(), POLLIN, 0});
+        polled.assign(1, {socket_.get(), POLLIN, 0});
         for (const auto &each : clients_)
-            waits.push_back({each.socket.get(), POLLIN, 0});
-        wait_on(waits, look_period);
+            polled.push_back({each.socket.get(), POLLIN, 0});
+        wait_on(polled, check_interval);
         const double now = steady_now();
-        auto in = waits.begin() + 1;
+        auto in = polled.begin() + 1;
         for (auto each = clients_.begin(); each != clients_.end(); ++in) {
-            bool stays = now - each->since < (each->answered ? linger_limit : call_limit);
+            bool stays = now - each->since < (each->answered ? linger_timeout : request_timeout);
             try {
                 stays = stays && (in->revents == 0 || read_request(*each));
-            } catch (const std::bad_alloc &) { // guards the door: that caller has no answer
+            } catch (const std::bad_alloc &) { // it has no response, but the others have
                 stays = false;
             }
             each = stays ? std::next(each) : clients_.erase(each);
         }
-        if (waits.front().revents != 0)
+        if (polled.front().revents != 0)
             accept_all();
     }
 }
 
-// Each new caller is heard at once, as a whole call is mostly there already. Guards against those that say
-// nothing: when all places are taken the one that has stayed longest gives way.
+// Each new client is read at once, as a whole request is mostly there already. When all places are taken the
+// oldest client gives way, so that silent ones delay nobody.
 void control_server::accept_all() {
     for (std::size_t taken = 0; taken < max_connections; ++taken) {
         address peer;
@@ -103,19 +103,19 @@
         }
         if (!from) {
             if (errno != EAGAIN &&
-                errno != EWOULDBLOCK) // guards the CPU: the caller still waits to be accepted
-                wait_on({}, short_pause);
+                errno != EWOULDBLOCK) // it still waits to be accepted, so accepting at once would spin
+                wait_on({}, accept_retry_pause);
             return;
         }
         try {
             if (clients_.size() >= max_connections)
                 clients_.pop_front();
-            auto &made = clients_.emplace_back();
-            made.socket = std::move(from);
-            made.since = steady_now();
-            made.buffer.resize(call_size);
-            made.reader.emplace(made.buffer, http_reader::message_kind::request);
-            if (!read_request(made))
+            auto &accepted = clients_.emplace_back();
+            accepted.socket = std::move(from);
+            accepted.since = steady_now();
+            accepted.buffer.resize(max_request_size);
+            accepted.reader.emplace(accepted.buffer, http_reader::message_kind::request);
+            if (!read_request(accepted))
                 clients_.pop_back();
         } catch (const std::bad_alloc &) {
             return;
@@ -125,8 +125,8 @@
 
 bool control_server::read_request(client &from) {
     if (from.answered) {
-        char away[512];
-        const long got = read_some(from.socket, away, sizeof away);
+        char discarded[512];
+        const long got = read_some(from.socket, discarded, sizeof discarded);
         return got > 0 || got == -2;
     }
     const long got =
@@ -153,20 +153,20 @@
     }
 }
 
-control_server::response control_server::handle(const http_head &asked) const {
-    const auto mark = asked.target.find('?');
-    const string_view path = asked.target.substr(0, mark);
-    const string_view query = mark == string_view::npos ? string_view{} : asked.target.substr(mark + 1);
-    static constexpr std::array<string_view, 2> reads = {"/ready", "/metrics"};
-    static constexpr std::array<string_view, 4> acts = {"/cache-nodes/disable", "/cache-nodes/enable",
-                                                        "/drain", "/undrain"};
-    const bool read = std::ranges::find(reads, path) != reads.end();
-    if (!read && std::ranges::find(acts, path) == acts.end())
+control_server::response control_server::handle(const http_head &request) const {
+    const auto mark = request.target.find('?');
+    const string_view path = request.target.substr(0, mark);
+    const string_view query = mark == string_view::npos ? string_view{} : request.target.substr(mark + 1);
+    static constexpr std::array<string_view, 2> queries = {"/ready", "/metrics"};
+    static constexpr std::array<string_view, 4> commands = {"/cache-nodes/disable", "/cache-nodes/enable",
+                                                            "/drain", "/undrain"};
+    const bool is_query = std::ranges::find(queries, path) != queries.end();
+    if (!is_query && std::ranges::find(commands, path) == commands.end())
         return {404, "no such call; there are /ready, /metrics, /cache-nodes/disable, /cache-nodes/enable, "
                      "/drain, /undrain\n"};
-    if (asked.method != (read ? "GET" : "POST"))
-        return {405, read ? "this call is a GET\n" : "this call is a POST\n",
-                read ? "Allow: GET\r\n" : "Allow: POST\r\n"};
+    if (request.method != (is_query ? "GET" : "POST"))
+        return {405, is_query ? "this call is a GET\n" : "this call is a POST\n",
+                is_query ? "Allow: GET\r\n" : "Allow: POST\r\n"};
     if (path == "/ready")
         return handlers_.ready() ? response{200, "ready\n"} : response{503, "not ready\n"};
     if (path == "/metrics")
@@ -184,9 +184,9 @@
     return known ? response{200, "done\n"} : response{404, "no cache node has that id\n"};
 }
 
-void control_server::answer(client &to, const response &what) {
-    const std::string head = answer_head(what.status, what.fields, what.body.size(), false);
-    write_all(to.socket, head, what.body, write_limit);
+void control_server::answer(client &to, const response &content) {
+    const std::string head = answer_head(content.status, content.fields, content.body.size(), false);
+    write_all(to.socket, head, content.body, write_timeout);
     ::shutdown(to.socket.get(), SHUT_WR);
     to.answered = true;
     to.since = steady_now();
--- a/src/proxy/operations/control_server.hpp
+++ b/src/proxy/operations/control_server.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// The operators' door: an address of its own, one call to a connection, answered from one thread that waits
-// for no query.
+// The operators' HTTP interface: an address of its own, one request to a connection, answered from one thread
+// that waits for no client's request.
 #pragma once
 
 #include "net/http.hpp"
@@ -16,29 +16,35 @@
 
 namespace harrierpass::proxy {
 
-// What the calls do. None may wait for long; `*_server` is false where nobody has that id.
+// What the requests do. None may wait for long.
 struct control_handlers {
-    std::function<bool()> ready;
-    std::function<std::string()> metrics;
+    std::function<bool()> ready;          // whether clients are accepted
+    std::function<std::string()> metrics; // the metrics page
+    // False: no endpoint has that id.
     std::function<bool(const std::string &id)> disable_endpoint, enable_endpoint;
-    std::function<void(bool away)> set_draining;
+    std::function<void(bool draining)> set_draining; // sends clients away, or takes them again
 };
 
+// Runs its own thread for as long as it lives.
 class control_server {
 public:
-    static constexpr std::size_t max_connections = 32; // connections at a time; operators are few
+    static constexpr std::size_t max_connections = 32; // at a time; a further one replaces the oldest
 
-    control_server(tcp_socket on, control_handlers calls);
+    control_server(tcp_socket listening, control_handlers handlers);
     ~control_server();
-    address at() const { return local_address(socket_); }
+    control_server(const control_server &) = delete;
+    control_server &operator=(const control_server &) = delete;
+
+    // The address that it listens on.
+    [[nodiscard]] address at() const { return local_address(socket_); }
 
 private:
     struct client {
         tcp_socket socket;
-        double since;
+        double since; // accepted, or answered; s of the steady clock
         std::vector<char> buffer;
         std::optional<http_reader> reader;
-        bool answered = false; // what else it sends is read away until it closes, or for a while
+        bool answered = false; // what else it sends is discarded until it closes, or for a while
     };
     struct response {
         int status;
@@ -48,13 +54,13 @@
 
     void run();
     void accept_all();
-    bool read_request(client &from); // false: it is done with
-    response handle(const http_head &asked) const;
-    void answer(client &to, const response &what);
+    bool read_request(client &from); // false: its connection is to close
+    response handle(const http_head &request) const;
+    void answer(client &to, const response &content);
 
     tcp_socket socket_;
     const control_handlers handlers_;
-    std::list<client> clients_; // the oldest first
+    std::list<client> clients_; // the oldest first; the thread's own
     std::atomic<bool> over_ = false;
     std::optional<joined_thread> thread_;
 };
--- a/src/proxy/operations/hot_restart.cpp
+++ b/src/proxy/operations/hot_restart.cpp
@@ -9,6 +9,7 @@
 #include <cstdio>
 #include <cstring>
 #include <fcntl.h>
+#include <optional>
 #include <sys/socket.h>
 #include <sys/un.h>
 #include <unistd.h>
@@ -16,14 +17,35 @@
 namespace harrierpass::proxy {
 namespace {
 
-constexpr double ask_limit = 1;                      // s for the process that serves to hand over
-constexpr std::chrono::milliseconds tell_limit{400}; // for the others; operators wait no longer than 1 s
-constexpr double used_period = 0.05;                 // s between words on descriptors
-constexpr double accept_pause = 0.005;               // s until a successor is accepted that could not be
-constexpr double alone_look = 0.25;   // s; the longest that a call which is lost delays the door
-constexpr std::size_t most_links = 4; // successors at a time; the platform starts one
-constexpr std::size_t message_limit = 128UL * 1024; // bytes; some thousand servers out by hand
-constexpr std::string_view kinds = "hobtarud";
+constexpr double take_over_timeout = 1;                     // s for the process that serves to hand over
+constexpr std::chrono::milliseconds broadcast_timeout{400}; // operators wait no longer than 1 s
+constexpr double usage_interval = 0.05;                     // s between two messages of usage
+constexpr double accept_retry_pause = 0.005;           // s until a successor is accepted that could not be
+constexpr double alone_interval = 0.25;                // s between looks while there is no other process
+constexpr std::size_t max_peers = 4;                   // the platform starts one successor at a time
+constexpr std::size_t max_message_size = 128UL * 1024; // bytes; some thousand disabled endpoints
+
+using kind = peer_message::kind;
+
+// The kinds' letters on the wire.
+constexpr std::array<std::pair<kind, char>, 8> kind_letters = {{{kind::hello, 'h'},
+                                                                {kind::endpoint_disabled, 'o'},
+                                                                {kind::endpoint_enabled, 'b'},
+                                                                {kind::endpoint_enabled_at, 't'},
+                                                                {kind::draining, 'a'},
+                                                                {kind::ready, 'r'},
+                                                                {kind::usage, 'u'},
+                                                                {kind::done, 'd'}}};
+
+char letter_of(kind type) {
+    return std::ranges::find_if(kind_letters, [&](const auto &each) { return each.first == type; })->second;
+}
+
+std::optional<kind> kind_of(char letter) {
+    const auto found =
+        std::ranges::find_if(kind_letters, [&](const auto &each) { return each.second == letter; });
+    return found == kind_letters.end() ? std::nullopt : std::optional(found->first);
+}
 
 // A local socket's name may be longer than the system takes: then by way of the open directory.
 class local_name {
@@ -53,16 +75,17 @@
     return tcp_socket(::socket(AF_UNIX, SOCK_SEQPACKET | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
 }
 
-// Guards against taking another user's word.
-bool is_ours(const tcp_socket &from) {
-    ucred who{};
-    socklen_t size = sizeof who;
-    return ::getsockopt(from.get(), SOL_SOCKET, SO_PEERCRED, &who, &size) == 0 && who.uid == ::getuid();
+// Whether the other process is the same user's; no other is believed.
+bool is_same_user(const tcp_socket &socket) {
+    ucred credentials{};
+    socklen_t size = sizeof credentials;
+    return ::getsockopt(socket.get(), SOL_SOCKET, SO_PEERCRED, &credentials, &size) == 0 &&
+           credentials.uid == ::getuid();
 }
 
 // One message and, if it brings one, a descriptor. Empty: nothing there (errno EAGAIN), or the end.
 std::string receive(const tcp_socket &from, tcp_socket &with) {
-    std::string text(message_limit, '\0');
+    std::string text(max_message_size, '\0');
     iovec part{text.data(), text.size()};
     alignas(cmsghdr) std::array<char, CMSG_SPACE(sizeof(int))> control{};
     msghdr message{};
@@ -84,7 +107,7 @@
     return text;
 }
 
-shared_usage read_use(std::string_view text) {
+shared_usage parse_usage(std::string_view text) {
     static constexpr const char *bad = "no numbers of what is in use";
     const auto space = std::min(text.find(' '), text.size());
     return {parse_number<std::size_t>(text.substr(0, space), bad),
@@ -93,34 +116,35 @@
 
 } // namespace
 
-std::string to_text(const shared_usage &from) {
-    return std::to_string(from.descriptors) + " " + std::to_string(from.clients);
+std::string to_text(const shared_usage &usage) {
+    return std::to_string(usage.descriptors) + " " + std::to_string(usage.clients);
 }
 
-std::string to_message(const std::vector<peer_message> &from) {
-    std::string made;
-    for (const auto &each : from)
-        made.append(1, static_cast<char>(each.type))
+std::string to_message(const std::vector<peer_message> &messages) {
+    std::string text;
+    for (const auto &each : messages)
+        text.append(1, letter_of(each.type))
             .append(std::to_string(each.text.size()))
             .append(":")
             .append(each.text);
-    return made;
+    return text;
 }
 
-std::vector<peer_message> read_message(std::string_view from) {
+std::vector<peer_message> read_message(std::string_view text) {
     static constexpr const char *bad = "a message of the other process cannot be read";
-    std::vector<peer_message> made;
-    while (!from.empty()) {
-        const auto colon = from.find(':');
-        if (kinds.find(from[0]) == std::string_view::npos || colon == std::string_view::npos)
+    std::vector<peer_message> messages;
+    while (!text.empty()) {
+        const auto colon = text.find(':');
+        const auto type = kind_of(text[0]);
+        if (!type || colon == std::string_view::npos)
             throw parse_error{bad};
-        const auto size = parse_number<std::size_t>(from.substr(1, colon - 1), bad);
-        if (size > from.size() - colon - 1)
+        const auto size = parse_number<std::size_t>(text.substr(1, colon - 1), bad);
+        if (size > text.size() - colon - 1)
             throw parse_error{bad};
-        made.push_back({static_cast<peer_message::kind>(from[0]), std::string(from.substr(colon + 1, size))});
-        from.remove_prefix(colon + 1 + size);
+        messages.push_back({*type, std::string(text.substr(colon + 1, size))});
+        text.remove_prefix(colon + 1 + size);
     }
-    return made;
+    return messages;
 }
 
 hot_restart::hot_restart(const std::string &directory, const std::string &listen)
@@ -137,9 +161,9 @@
     const local_name at(directory_, name_);
     peer one{local_socket()};
     if (!at.usable() || !one.socket || ::connect(one.socket.get(), at.get(), sizeof(sockaddr_un)) != 0 ||
-        !is_ours(one.socket) || !write(one, {{peer_message::kind::hello, {}}}))
+        !is_same_user(one.socket) || !write(one, {{peer_message::kind::hello, {}}}))
         return std::nullopt;
-    const double end = steady_now() + ask_limit;
+    const double end = steady_now() + take_over_timeout;
     while (steady_now() < end) {
         pollfd in{one.socket.get(), POLLIN, 0};
         ::poll(&in, 1, static_cast<int>((end - steady_now()) * 1000) + 1); // the program's first thread
@@ -153,7 +177,7 @@
             auto state = read_message(text);
             for (const auto &each : state)
                 if (each.type == peer_message::kind::usage)
-                    one.usage = read_use(each.text);
+                    one.usage = parse_usage(each.text);
             peers_.push_back(std::move(one));
             return std::pair(std::move(with), std::move(state));
         } catch (const parse_error &) {
@@ -163,11 +187,11 @@
     return std::nullopt;
 }
 
-void hot_restart::run(callbacks with, const tcp_socket &listening) {
-    callbacks_ = std::move(with);
+void hot_restart::run(callbacks functions, const tcp_socket &listening) {
+    callbacks_ = std::move(functions);
     listening_ = listening.get();
     if (!peers_.empty())
-        on_peers_changed(); // from the start on: what the process before uses is not ours
+        on_peers_changed(); // from the start on the limits are shared with the process before
     thread_.emplace([this] { loop(); });
 }
 
@@ -177,8 +201,8 @@
     wake_thread(thread_->id());
 }
 
-// Made beside its place and moved there in one step: guards a second successor against a moment without one,
-// and against what a killed process left.
+// Made beside its place and renamed: a successor finds a socket at any time, and one that a killed process
+// left is replaced.
 void hot_restart::listen_for_successors() {
     successor_socket_ = local_socket();
     const local_name beside(directory_, name_ + "." + std::to_string(::getpid())), at(directory_, name_);
@@ -186,57 +210,56 @@
         return;
     ::unlink(beside.path());
     if (::bind(successor_socket_.get(), beside.get(), sizeof(sockaddr_un)) != 0 ||
-        ::listen(successor_socket_.get(), most_links) != 0 || std::rename(beside.path(), at.path()) != 0)
+        ::listen(successor_socket_.get(), max_peers) != 0 || std::rename(beside.path(), at.path()) != 0)
         successor_socket_.close();
 }
 
 void hot_restart::loop() {
-    double told = 0;
-    std::vector<pollfd> waits;
+    double usage_sent_at = 0;
+    std::vector<pollfd> polled;
     while (!over_) {
         if (serves_ && !successor_socket_)
             listen_for_successors();
-        waits.assign(1, {successor_socket_.get(), POLLIN, 0});
+        polled.assign(1, {successor_socket_.get(), POLLIN, 0});
         {
-            const std::lock_guard hold(lock_);
+            const std::lock_guard guard(lock_);
             for (const auto &each : peers_)
-                waits.push_back({each.socket.get(), POLLIN, 0});
+                polled.push_back({each.socket.get(), POLLIN, 0});
         }
-        const bool alone = waits.size() == 1;
-        wait_on(waits, alone ? alone_look : used_period);
+        const bool alone = polled.size() == 1;
+        wait_on(polled, alone ? alone_interval : usage_interval);
         bool changed = false;
-        auto in = waits.begin() + 1;
-        // Only this thread adds links and takes them off; tell() looks at them.
-        for (auto each = peers_.begin(); in != waits.end(); ++in) {
+        auto in = polled.begin() + 1;
+        for (auto each = peers_.begin(); in != polled.end(); ++in) {
             const bool stays = in->revents == 0 || read_messages(*each);
             changed = changed || in->revents != 0;
             if (stays) {
                 ++each;
                 continue;
             }
-            const std::lock_guard hold(lock_);
+            const std::lock_guard guard(lock_);
             each = peers_.erase(each);
         }
-        if (waits.front().revents != 0) {
+        if (polled.front().revents != 0) {
             tcp_socket from(
                 ::accept4(successor_socket_.get(), nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK));
-            if (!from) // guards the CPU: it still waits to be accepted
-                wait_on({}, accept_pause);
-            if (from && is_ours(from) && peers_.size() < most_links) {
-                const std::lock_guard hold(lock_);
+            if (!from) // it still waits, so polling at once would spin
+                wait_on({}, accept_retry_pause);
+            if (from && is_same_user(from) && peers_.size() < max_peers) {
+                const std::lock_guard guard(lock_);
                 peers_.push_back({std::move(from)});
                 changed = true;
             }
         }
         if (changed)
             on_peers_changed();
-        if (steady_now() - told < used_period || alone)
+        if (steady_now() - usage_sent_at < usage_interval || alone)
             continue;
-        told = steady_now();
-        const std::string used = to_text(callbacks_.local_usage());
-        const std::lock_guard hold(lock_);
+        usage_sent_at = steady_now();
+        const std::string usage = to_text(callbacks_.local_usage());
+        const std::lock_guard guard(lock_);
         for (auto &each : peers_)
-            write(each, {{peer_message::kind::usage, used}});
+            write(each, {{peer_message::kind::usage, usage}});
     }
 }
 
@@ -256,10 +279,10 @@
                     return false;
                 continue;
             case peer_message::kind::usage:
-                from.usage = read_use(each.text);
+                from.usage = parse_usage(each.text);
                 continue;
             case peer_message::kind::done: {
-                const std::lock_guard hold(lock_);
+                const std::lock_guard guard(lock_);
                 ++from.acknowledged;
                 acknowledged_.notify_all();
                 continue;
@@ -272,13 +295,13 @@
             default:
                 callbacks_.on_message(each);
             }
-            const std::lock_guard hold(lock_);
+            const std::lock_guard guard(lock_);
             for (auto &other : peers_) // a third process, where one upgrade follows another
                 if (&other != &from && each.type != peer_message::kind::ready && write(other, {each}))
                     ++other.sent;
             write(from, {{peer_message::kind::done, {}}});
         }
-    } catch (const parse_error &) { // of another version, say: it is treated as gone
+    } catch (const parse_error &) { // as of another release: it is treated as ended
         return false;
     }
     return true;
@@ -286,31 +309,32 @@
 
 void hot_restart::on_peers_changed() {
     shared_usage used;
-    bool succeeded = false;
+    bool has_successor = false;
     for (const auto &each : peers_) {
         used.has_peers = true;
         used.descriptors += each.usage.descriptors;
         used.clients += each.usage.clients;
-        succeeded = succeeded || (each.is_successor && each.ready);
+        has_successor = has_successor || (each.is_successor && each.ready);
     }
-    has_successor_ = succeeded;
+    has_successor_ = has_successor;
     callbacks_.on_peer_usage(used);
 }
 
-void hot_restart::broadcast(const peer_message &what) {
-    std::unique_lock hold(lock_);
+void hot_restart::broadcast(const peer_message &message) {
+    std::unique_lock guard(lock_);
     for (auto &each : peers_)
-        if (write(each, {what}))
+        if (write(each, {message}))
             ++each.sent;
-    acknowledged_.wait_for(hold, tell_limit, [&] {
+    acknowledged_.wait_for(guard, broadcast_timeout, [&] {
         return std::all_of(peers_.begin(), peers_.end(),
                            [](const peer &each) { return each.acknowledged >= each.sent; });
     });
 }
 
-// Its room is far beyond what is said in a moment, so a full one is a process that hangs.
-bool hot_restart::write(peer &to, const std::vector<peer_message> &what, int with_socket) {
-    const std::string text = to_message(what);
+// Never waits: the socket's buffer holds far more than is sent at a time, so a full one is a process that
+// hangs.
+bool hot_restart::write(peer &to, const std::vector<peer_message> &messages, int with_socket) {
+    const std::string text = to_message(messages);
     iovec part{const_cast<char *>(text.data()), text.size()};
     alignas(cmsghdr) std::array<char, CMSG_SPACE(sizeof(int))> control{};
     msghdr message{};
--- a/src/proxy/operations/hot_restart.hpp
+++ b/src/proxy/operations/hot_restart.hpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-// One proxy, two processes: the one that serves hands its listening socket, and what operators asked of it,
-// to its successor over a local socket; both then tell each other what the other must know, until one is
-// gone.
+// Hot restart: the process that serves hands its listening socket and its operators' state to its successor
+// over a local socket. Until one of them ends, both exchange operators' commands and what they use of the
+// limits that they share.
 #pragma once
 
 #include "net/sockets.hpp"
@@ -9,82 +9,95 @@
 
 #include <atomic>
 #include <condition_variable>
+#include <cstdint>
 #include <functional>
 #include <list>
 #include <mutex>
 #include <optional>
 #include <string>
+#include <string_view>
+#include <utility>
 #include <vector>
 
 namespace harrierpass::proxy {
 
-// What one process tells the other: a kind and its text.
+// A message between two processes of one proxy. The kinds' letters on the wire, which releases share, are in
+// one table in hot_restart.cpp.
 struct peer_message {
-    enum class kind : char {
-        hello = 'h', // a successor asks for the socket; answered by the state, which ends with `done`
-        endpoint_disabled = 'o',   // this server is out by hand
-        endpoint_enabled = 'b',    // it is back
-        endpoint_enabled_at = 't', // it came back at that time: "SECONDS ID"
-        draining = 'a',            // clients are sent away ("1") or not ("0")
-        ready = 'r',               // the successor takes clients
-        usage = 'u',               // what is in use: "DESCRIPTORS CLIENTS"
-        done = 'd'                 // the number of the message that was carried out
+    enum class kind : std::uint8_t {
+        hello,               // a successor asks for the socket; the answer is the state
+        endpoint_disabled,   // text: its id
+        endpoint_enabled,    // text: its id
+        endpoint_enabled_at, // text: "SECONDS ID", Unix time
+        draining,            // text: clients are sent away ("1") or not ("0")
+        ready,               // the successor accepts clients
+        usage,               // text: "DESCRIPTORS CLIENTS"
+        done                 // a message was carried out
     };
     kind type;
     std::string text;
 };
-// Of the limits that all processes of one proxy keep together.
+// What processes use of the limits that hold for all processes of one proxy together.
 struct shared_usage {
     std::size_t descriptors = 0, clients = 0;
-    bool has_peers = false; // there is another process
+    bool has_peers = false; // there are other processes
 };
-std::string to_text(const shared_usage &from);
-std::string to_message(const std::vector<peer_message> &from);
-// Throws bad_text.
-std::vector<peer_message> read_message(std::string_view from);
+// The text of a `usage` message.
+[[nodiscard]] std::string to_text(const shared_usage &usage);
 
+// Several messages in the form in which they are sent together, and back. Reading throws parse_error.
+[[nodiscard]] std::string to_message(const std::vector<peer_message> &messages);
+[[nodiscard]] std::vector<peer_message> read_message(std::string_view text);
+
+// Runs its own thread from run() on. broadcast() and has_successor() may be called from any thread.
 class hot_restart {
 public:
+    // Called by its thread.
     struct callbacks {
         std::function<std::vector<peer_message>()> state;        // for a successor
-        std::function<void(const peer_message &)> on_message;    // carried out when it returns
-        std::function<shared_usage()> local_usage;               // here
-        std::function<void(const shared_usage &)> on_peer_usage; // at the other processes
+        std::function<void(const peer_message &)> on_message;    // carries it out
+        std::function<shared_usage()> local_usage;               // of this process
+        std::function<void(const shared_usage &)> on_peer_usage; // of the others
     };
 
     // `directory`: where the local socket is; `listen`: whose proxy this is.
     hot_restart(const std::string &directory, const std::string &listen);
     ~hot_restart();
+    hot_restart(const hot_restart &) = delete;
+    hot_restart &operator=(const hot_restart &) = delete;
 
-    // As a successor: the listening socket of the process that serves, and its state; empty: none does.
-    std::optional<std::pair<tcp_socket, std::vector<peer_message>>> take_over();
-    // Begins to hear others; from then on successors are answered if `serves`.
-    void run(callbacks with, const tcp_socket &listening);
-    // The successor takes clients: tells the one before, and answers later successors itself.
+    // As a successor, before run(): the listening socket of the process that serves, and its state; empty: no
+    // process answers.
+    [[nodiscard]] std::optional<std::pair<tcp_socket, std::vector<peer_message>>> take_over();
+    // Starts to exchange messages. `listening` is handed to successors and must outlive this.
+    void run(callbacks functions, const tcp_socket &listening);
+    // This process accepts clients: tells the one before it, and answers later successors.
     void start_serving();
-    // Tells all others, and waits until they have done it, or for a short while.
-    void broadcast(const peer_message &what);
-    bool has_successor() const { return has_successor_.load(); } // a successor takes clients
+    // Sends a message to all others and waits until they have carried it out, for a short while at most.
+    void broadcast(const peer_message &message);
+    // Whether a successor accepts clients.
+    [[nodiscard]] bool has_successor() const { return has_successor_.load(); }
 
 private:
     struct peer {
         tcp_socket socket;
         bool is_successor = false, ready = false;
         shared_usage usage = {};
-        unsigned long sent = 0, acknowledged = 0; // messages that are to be carried out, by number
+        unsigned long sent = 0, acknowledged = 0; // numbers of messages that are to be carried out
     };
 
     void loop();
     void listen_for_successors();
-    bool read_messages(peer &from); // false: it is gone
+    bool read_messages(peer &from); // false: it has ended
     void on_peers_changed();
-    bool write(peer &to, const std::vector<peer_message> &what, int with_socket = -1);
+    bool write(peer &to, const std::vector<peer_message> &messages, int with_socket = -1);
 
     const std::string directory_, name_;
     callbacks callbacks_;
-    int listening_ = -1;          // the clients'; the listener's own
+    int listening_ = -1;          // the listener's own
     tcp_socket successor_socket_; // where successors ask
-    std::mutex lock_;             // of links_ and their counts
+    // Protects peers_ and their counts. Its thread alone adds and removes peers, and reads them without it.
+    std::mutex lock_;
     std::condition_variable acknowledged_;
     std::list<peer> peers_;
     std::atomic<bool> over_ = false, serves_ = false, has_successor_ = false;
--- a/src/proxy/operations/startup_preview.cpp
+++ b/src/proxy/operations/startup_preview.cpp
@@ -3,7 +3,7 @@
 
 #include "base/text.hpp"
 #include "net/sockets.hpp"
-#include "proxy/discovery/discovery_client.hpp"
+#include "proxy/discovery/endpoint_list.hpp"
 #include "proxy/discovery/snapshot_file.hpp"
 
 #include <iomanip>
@@ -12,65 +12,68 @@
 namespace harrierpass::proxy {
 namespace {
 
-// One list that there may be to start with; empty where there is none that can be used.
-std::optional<endpoint_list> tell_list(const json &from, const configuration &given, std::ostream &to) {
+// Describes a list that the proxy may start with, and returns it; empty: it cannot be used.
+std::optional<endpoint_list> describe_list(const json &from, const configuration &settings,
+                                           std::ostream &output) {
     try {
-        const auto list = read_endpoint_list(from, given);
-        to << "revision " << list.revision << ", " << list.items.size() << " servers\n";
+        const auto list = read_endpoint_list(from, settings);
+        output << "revision " << list.revision << ", " << list.items.size() << " servers\n";
         return list;
-    } catch (const parse_error &bad) {
-        to << "not usable: " << bad.reason << '\n';
+    } catch (const parse_error &error) {
+        output << "not usable: " << error.reason << '\n';
         return std::nullopt;
     }
 }
 
 } // namespace
 
-void preview_startup(const configuration &given, double now, std::ostream &to) {
-    for (const auto &[what, at] : {std::pair("listen", given.listen), std::pair("discovery", given.discovery),
-                                   std::pair("control", given.control)})
+void preview_startup(const configuration &settings, double now, std::ostream &output) {
+    for (const auto &[what, at] :
+         {std::pair("listen", settings.listen), std::pair("discovery", settings.discovery),
+          std::pair("control", settings.control)})
         if (!at.empty() && !parse_address(at))
             throw parse_error{std::string(what) + " " + at + " is no usable address"};
-    const bool shared = given.poll.service == discovery::list_service_kind::shared;
-    const auto pace = discovery::compute_poll_intervals(given.poll);
-    to << std::setprecision(3) << given.name << ": listens on " << given.listen << ", list service "
-       << given.discovery << ", " << (shared ? "one for all proxies" : "an agent beside this one") << '\n';
-    std::optional<endpoint_list> starts;
-    to << "known list: ";
-    if (given.known_endpoints.type == json::kind::object)
-        starts = tell_list(given.known_endpoints, given, to);
+    const bool shared = settings.poll.service == discovery::list_service_kind::shared;
+    const auto intervals = discovery::compute_poll_intervals(settings.poll);
+    output << std::setprecision(3) << settings.name << ": listens on " << settings.listen << ", list service "
+           << settings.discovery << ", " << (shared ? "one for all proxies" : "an agent beside this one")
+           << '\n';
+    std::optional<endpoint_list> initial;
+    output << "known list: ";
+    if (settings.known_endpoints.type == json::kind::object)
+        initial = describe_list(settings.known_endpoints, settings, output);
     else
-        to << "none\n";
-    to << "snapshot: ";
-    if (given.snapshot_path.empty()) {
-        to << "none is kept\n";
-    } else if (const auto found = load_snapshot(given, now); found.fault != nullptr) {
-        to << given.snapshot_path << " refused: " << found.fault << '\n';
+        output << "none\n";
+    output << "snapshot: ";
+    if (settings.snapshot_path.empty()) {
+        output << "none is kept\n";
+    } else if (const auto found = load_snapshot(settings, now); found.fault != nullptr) {
+        output << settings.snapshot_path << " refused: " << found.fault << '\n';
     } else {
-        to << given.snapshot_path << ", " << found.age << " s old, ";
-        const auto kept = tell_list(found.list, given, to);
-        if (kept && (!starts || kept->revision > starts->revision))
-            starts = kept;
+        output << settings.snapshot_path << ", " << found.age << " s old, ";
+        const auto saved = describe_list(found.list, settings, output);
+        if (saved && (!initial || saved->revision > initial->revision))
+            initial = saved;
     }
-    const bool has = starts && !starts->items.empty();
+    const bool has_endpoints = initial && !initial->items.empty();
     if (!shared) {
-        to << "first call: the whole list, at once; then watches of " << pace.watch_timeout
-           << " s, an answer within " << pace.response_timeout
-           << " s\nready: after the first call's answer or loss\n";
+        output << "first call: the whole list, at once; then watches of " << intervals.watch_timeout
+               << " s, an answer within " << intervals.response_timeout
+               << " s\nready: after the first call's answer or loss\n";
         return;
     }
-    to << "first call: ";
-    if (has)
-        to << "a watch from revision " << starts->revision;
+    output << "first call: ";
+    if (has_endpoints)
+        output << "a watch from revision " << initial->revision;
     else
-        to << "the whole list";
-    to << ", by chance within " << pace.initial_poll_window << " s (" << given.poll.proxy_count
-       << " proxies, " << given.poll.snapshots_per_second << " lists a second)\nwatches of "
-       << pace.watch_timeout << " s, an answer within " << pace.response_timeout
-       << " s\nafter a refusal: not before it says, then by chance within " << pace.rejected_poll_window
-       << " s\nafter a loss: by chance within " << pace.min_backoff << " s, doubled up to "
-       << pace.max_backoff << " s\nready: " << (has ? "at once, with that list" : "with the first list")
-       << '\n';
+        output << "the whole list";
+    output << ", by chance within " << intervals.initial_poll_window << " s (" << settings.poll.proxy_count
+           << " proxies, " << settings.poll.snapshots_per_second << " lists a second)\nwatches of "
+           << intervals.watch_timeout << " s, an answer within " << intervals.response_timeout
+           << " s\nafter a refusal: not before it says, then by chance within "
+           << intervals.rejected_poll_window << " s\nafter a loss: by chance within " << intervals.min_backoff
+           << " s, doubled up to " << intervals.max_backoff
+           << " s\nready: " << (has_endpoints ? "at once, with that list" : "with the first list") << '\n';
 }
 
 } // namespace harrierpass::proxy
--- a/src/proxy/operations/startup_preview.hpp
+++ b/src/proxy/operations/startup_preview.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// What a start by a configuration would do, told without starting anything.
+// Describes what a start with a configuration would do, without starting anything.
 #pragma once
 
 #include "proxy/configuration.hpp"
@@ -8,7 +8,7 @@
 
 namespace harrierpass::proxy {
 
-// `now`: Unix time, s. Throws bad_text where an address cannot be used.
-void preview_startup(const configuration &given, double now, std::ostream &to);
+// Writes the description. `now`: Unix time, s. Throws parse_error where an address cannot be used.
+void preview_startup(const configuration &settings, double now, std::ostream &output);
 
 } // namespace harrierpass::proxy
--- a/src/proxy/operations/stop_schedule.cpp
+++ b/src/proxy/operations/stop_schedule.cpp
@@ -6,32 +6,32 @@
 namespace harrierpass::proxy {
 namespace {
 
-constexpr double longest_wait = 3;  // s; the platform waits for no longer deadline
+constexpr double max_deadline = 3;  // s; the platform waits for no longer one
 constexpr double kill_delay = 0.7;  // s that it waits beside the longest deadline
 constexpr double kill_margin = 0.3; // s; a process may be held up for 0.15 s, and has to write and to end
-constexpr double front_time = 0.45; // s; the front deals out new connections for up to 0.4 s
+constexpr double min_accept_time = 0.45; // s; the load balancer sends new connections for up to 0.4 s
 constexpr double serving_share =
-    0.5;                            // of the time to the last answer in which clients keep their connections
-constexpr double answer_time = 0.1; // s kept free for answers where all deadlines are shorter
-constexpr double most_idle = 0.25;  // s; a connection that was used since may have a request on its way
-constexpr double idle_share = 0.5;  // of the time from the first close to the last answer
+    0.5; // of the time to the last answer in which clients keep their connections
+constexpr double min_response_time = 0.1; // s kept free for answers where all deadlines are shorter
+constexpr double max_idle = 0.25;         // s; a connection that was used since may have a request on its way
+constexpr double idle_share = 0.5;        // of the time from the first close to the last answer
 
 } // namespace
 
 double longest_deadline(std::span<const double> deadlines) {
     const auto longest = std::max_element(deadlines.begin(), deadlines.end());
-    return longest == deadlines.end() ? 0 : std::min(*longest, longest_wait);
+    return longest == deadlines.end() ? 0 : std::min(*longest, max_deadline);
 }
 
 stop_schedule stop_schedule_for(double longest_deadline) {
-    stop_schedule made;
-    made.earliest_kill = std::clamp(longest_deadline, 0.0, longest_wait) + kill_delay;
-    made.respond_by = made.earliest_kill - kill_margin;
-    made.close_idle =
-        std::min(std::max(front_time, made.respond_by * serving_share), made.respond_by - answer_time);
-    made.min_idle = std::min(most_idle, (made.respond_by - made.close_idle) * idle_share);
-    made.accept_until = std::max(made.close_idle, front_time);
-    return made;
+    stop_schedule schedule;
+    schedule.earliest_kill = std::clamp(longest_deadline, 0.0, max_deadline) + kill_delay;
+    schedule.respond_by = schedule.earliest_kill - kill_margin;
+    schedule.close_idle = std::min(std::max(min_accept_time, schedule.respond_by * serving_share),
+                                   schedule.respond_by - min_response_time);
+    schedule.min_idle = std::min(max_idle, (schedule.respond_by - schedule.close_idle) * idle_share);
+    schedule.accept_until = std::max(schedule.close_idle, min_accept_time);
+    return schedule;
 }
 
 } // namespace harrierpass::proxy
--- a/src/proxy/request/dispatcher.cpp
+++ b/src/proxy/request/dispatcher.cpp
@@ -11,16 +11,16 @@
     return std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count();
 }
 
-constexpr double longest_sleep = 0.25; // s; after it the timer looks whether it is to end
+constexpr double max_sleep = 0.25; // s; then the timer looks whether it is to stop
 
 } // namespace
 
-dispatcher::dispatcher(std::shared_ptr<const configuration> given, router_factory made_by)
-    : unix_start_(unix_now()), steady_start_(steady_now()), configuration_(std::move(given)),
-      router_(made_by(configuration_->router, configuration_->seed, now())), wake_at_(unix_start_) {}
+dispatcher::dispatcher(std::shared_ptr<const configuration> settings, router_factory make_router)
+    : unix_start_(unix_now()), steady_start_(steady_now()), configuration_(std::move(settings)),
+      router_(make_router(configuration_->router, configuration_->seed, now())), wake_at_(unix_start_) {}
 
 std::shared_ptr<const configuration> dispatcher::configuration_in_force() {
-    const std::lock_guard hold(lock_);
+    const std::lock_guard guard(lock_);
     return configuration_;
 }
 
@@ -28,146 +28,146 @@
     return unix_start_ + (steady_now() - steady_start_);
 }
 
-// Every report to the router goes through here: one clock, read under the lock, so that its time never runs
-// back; what it decided is handed out before the next report.
-template <typename What> void dispatcher::report_event(What what) {
-    std::vector<index> probes;
-    bool subscribes = false;
+// Reports every event to the router. The clock is read under the lock, so that the router's time never goes
+// back, and its actions are delivered before the next event.
+template <typename Event> void dispatcher::report_event(Event event) {
+    std::vector<index> health_checks;
+    bool watch_requested = false;
     {
-        const std::lock_guard hold(lock_);
-        what(now());
-        deliver_actions(probes, subscribes);
+        const std::lock_guard guard(lock_);
+        event(now());
+        deliver_actions(health_checks, watch_requested);
     }
-    for (const index server : probes)
-        on_check_health(server);
-    if (subscribes)
+    for (const index endpoint : health_checks)
+        on_check_health(endpoint);
+    if (watch_requested)
         on_watch_endpoints();
 }
 
-void dispatcher::deliver_actions(std::vector<index> &probes, bool &subscribes) {
-    for (const action &act : router_->actions) {
-        request_handle *const of = act.request != none ? requests_[act.request] : nullptr;
-        switch (act.kind) {
+void dispatcher::deliver_actions(std::vector<index> &health_checks, bool &watch_requested) {
+    for (const auto &action : router_->actions) {
+        request_handle *const handle = action.request != none ? requests_[action.request] : nullptr;
+        switch (action.kind) {
         case action_kind::start_attempt:
-            of->decision_ = {routing_decision::kind::start_attempt, act.endpoint, of->attempts_started_++,
-                             false, 0};
-            of->endpoints_used_.push_back(act.endpoint);
-            ++references_[act.endpoint];
+            handle->decision_ = {routing_decision::kind::start_attempt, action.endpoint,
+                                 handle->attempts_started_++, false, 0};
+            handle->endpoints_used_.push_back(action.endpoint);
+            ++references_[action.endpoint];
             break;
         case action_kind::cancel_attempt:
-            of->decision_.cancel = of->decision_.attempt == act.attempt;
+            handle->decision_.cancel = handle->decision_.attempt == action.attempt;
             break;
         case action_kind::reject_request:
-            of->decision_.kind_of = routing_decision::kind::reject;
-            of->decision_.retry_after = act.time;
+            handle->decision_.kind_of = routing_decision::kind::reject;
+            handle->decision_.retry_after = action.time;
             break;
         case action_kind::fail_request:
-            of->decision_.kind_of = routing_decision::kind::fail;
+            handle->decision_.kind_of = routing_decision::kind::fail;
             break;
         case action_kind::release_request:
-            requests_[act.request] = nullptr;
-            free_indices_.push_back(act.request);
-            of->request_ = none;
-            for (const index each : of->endpoints_used_)
+            requests_[action.request] = nullptr;
+            free_indices_.push_back(action.request);
+            handle->request_ = none;
+            for (const index each : handle->endpoints_used_)
                 --references_[each];
-            continue; // its thread is the one that reported its end
+            continue; // its own thread reported the event, so it need not be woken
         case action_kind::check_health:
-            probes.push_back(act.endpoint);
-            ++references_[act.endpoint];
+            health_checks.push_back(action.endpoint);
+            ++references_[action.endpoint];
             continue;
         case action_kind::set_timer:
-            wake_at_ = act.time;
+            wake_at_ = action.time;
             continue;
         case action_kind::watch_endpoints:
-            subscribes = true;
+            watch_requested = true;
             continue;
         }
-        if (!pthread_equal(of->waiter_, pthread_self()))
-            wake_thread(of->waiter_);
+        if (!pthread_equal(handle->waiter_, pthread_self()))
+            wake_thread(handle->waiter_);
     }
     router_->actions.clear();
 }
 
-bool dispatcher::submit(request_handle &of, request_info from,
-                        const std::shared_ptr<const configuration> &by) {
-    bool taken = false;
+bool dispatcher::submit(request_handle &handle, request_info request,
+                        const std::shared_ptr<const configuration> &read_by) {
+    bool submitted = false;
     report_event([&](double now) {
-        // Guards against an index into lists of names that are no longer in force.
-        if (by != configuration_)
+        // Its indices into lists of names hold for one configuration only.
+        if (read_by != configuration_)
             return;
-        taken = true;
+        submitted = true;
         if (free_indices_.empty()) {
             free_indices_.push_back(static_cast<index>(requests_.size()));
             requests_.push_back(nullptr);
         }
-        from.request = of.request_ = free_indices_.back();
+        request.request = handle.request_ = free_indices_.back();
         free_indices_.pop_back();
-        of.waiter_ = pthread_self();
-        requests_[from.request] = &of;
-        router_->on_request(now, from);
+        handle.waiter_ = pthread_self();
+        requests_[request.request] = &handle;
+        router_->on_request(now, request);
     });
-    return taken;
+    return submitted;
 }
 
-routing_decision dispatcher::next_decision(request_handle &of) {
-    const std::lock_guard hold(lock_);
-    const routing_decision now = of.decision_;
-    if (now.kind_of == routing_decision::kind::start_attempt)
-        of.decision_.kind_of = routing_decision::kind::attempt_running;
-    return now;
+routing_decision dispatcher::next_decision(request_handle &handle) {
+    const std::lock_guard guard(lock_);
+    const routing_decision decision = handle.decision_;
+    if (decision.kind_of == routing_decision::kind::start_attempt)
+        handle.decision_.kind_of = routing_decision::kind::attempt_running;
+    return decision;
 }
 
-double dispatcher::attempt_write_deadline(request_handle &of) {
-    const std::lock_guard hold(lock_);
-    const bool stands = of.request_ != none &&
-                        of.decision_.kind_of == routing_decision::kind::attempt_running &&
-                        !of.decision_.cancel;
-    return stands ? router_->attempt_write_deadline(of.request_) : 0;
+double dispatcher::attempt_write_deadline(request_handle &handle) {
+    const std::lock_guard guard(lock_);
+    const bool is_running = handle.request_ != none &&
+                            handle.decision_.kind_of == routing_decision::kind::attempt_running &&
+                            !handle.decision_.cancel;
+    return is_running ? router_->attempt_write_deadline(handle.request_) : 0;
 }
 
-void dispatcher::attempt_finished(request_handle &of, outcome result, bool fetched) {
+void dispatcher::attempt_finished(request_handle &handle, outcome result, bool fetched) {
     report_event([&](double now) {
-        const index execution = of.decision_.attempt;
-        of.decision_.cancel = false;
-        if (of.decision_.kind_of == routing_decision::kind::attempt_running)
-            of.decision_ = {};
-        if (of.request_ != none)
-            router_->on_attempt_finished(now, of.request_, execution, result, result == outcome::completed,
+        const index attempt = handle.decision_.attempt;
+        handle.decision_.cancel = false;
+        if (handle.decision_.kind_of == routing_decision::kind::attempt_running)
+            handle.decision_ = {};
+        if (handle.request_ != none)
+            router_->on_attempt_finished(now, handle.request_, attempt, result, result == outcome::completed,
                                          fetched);
     });
 }
 
-void dispatcher::request_finished(request_handle &of, outcome result) {
+void dispatcher::request_finished(request_handle &handle, outcome result) {
     report_event([&](double now) {
-        if (of.request_ != none)
-            router_->on_attempt_finished(now, of.request_, of.decision_.attempt, result, true, false);
+        if (handle.request_ != none)
+            router_->on_attempt_finished(now, handle.request_, handle.decision_.attempt, result, true, false);
     });
 }
 
-void dispatcher::response_started(request_handle &of, bool fetched) {
+void dispatcher::response_started(request_handle &handle, bool fetched) {
     report_event([&](double now) {
-        if (of.request_ != none)
-            router_->on_response_started(now, of.request_, fetched);
+        if (handle.request_ != none)
+            router_->on_response_started(now, handle.request_, fetched);
     });
 }
 
-void dispatcher::request_body_sent(request_handle &of, double statement_end) {
+void dispatcher::request_body_sent(request_handle &handle, double deadline) {
     report_event([&](double now) {
-        if (of.request_ != none)
-            router_->on_request_body_sent(now, of.request_, statement_end);
+        if (handle.request_ != none)
+            router_->on_request_body_sent(now, handle.request_, deadline);
     });
 }
 
-void dispatcher::client_disconnected(request_handle &of) {
+void dispatcher::client_disconnected(request_handle &handle) {
     report_event([&](double now) {
-        if (of.request_ != none)
-            router_->on_client_disconnected(now, of.request_);
+        if (handle.request_ != none)
+            router_->on_client_disconnected(now, handle.request_);
     });
 }
 
-bool dispatcher::is_released(request_handle &of) {
-    const std::lock_guard hold(lock_);
-    return of.request_ == none;
+bool dispatcher::is_released(request_handle &handle) {
+    const std::lock_guard guard(lock_);
+    return handle.request_ == none;
 }
 
 void dispatcher::reserve_references(std::span<const endpoint_info> entries) {
@@ -192,46 +192,46 @@
     });
 }
 
-void dispatcher::health_check_finished(index server, std::optional<bool> answered) {
+void dispatcher::health_check_finished(index endpoint, std::optional<bool> answered) {
     report_event([&](double now) {
-        --references_[server];
+        --references_[endpoint];
         if (answered)
-            router_->on_health_check_finished(now, server, *answered);
+            router_->on_health_check_finished(now, endpoint, *answered);
     });
 }
 
-bool dispatcher::is_referenced(index server) {
-    const std::lock_guard hold(lock_);
-    return server < references_.size() && references_[server] > 0;
+bool dispatcher::is_referenced(index endpoint) {
+    const std::lock_guard guard(lock_);
+    return endpoint < references_.size() && references_[endpoint] > 0;
 }
 
-std::size_t dispatcher::count_avoided(std::span<const index> of) {
-    const std::lock_guard hold(lock_);
-    return static_cast<std::size_t>(
-        std::count_if(of.begin(), of.end(), [&](index each) { return router_->avoids_endpoint(each); }));
+std::size_t dispatcher::count_avoided(std::span<const index> endpoints) {
+    const std::lock_guard guard(lock_);
+    return static_cast<std::size_t>(std::count_if(
+        endpoints.begin(), endpoints.end(), [&](index each) { return router_->avoids_endpoint(each); }));
 }
 
 subset_view dispatcher::subset() {
-    const std::lock_guard hold(lock_);
+    const std::lock_guard guard(lock_);
     return router_->subset();
 }
 
-void dispatcher::run_timer(const std::function<bool()> &over) {
-    while (!over()) {
+void dispatcher::run_timer(const std::function<bool()> &stopped) {
+    while (!stopped()) {
         double due;
         {
-            const std::lock_guard hold(lock_);
+            const std::lock_guard guard(lock_);
             due = wake_at_;
             if (due <= now())
-                wake_at_ = now() + longest_sleep; // should the router fail to say when
+                wake_at_ = now() + max_sleep; // unless the router sets it
         }
         if (const double wait = due - now(); wait > 0) {
-            wait_on({}, std::min(wait, longest_sleep));
+            wait_on({}, std::min(wait, max_sleep));
             continue;
         }
         try {
             report_event([&](double now) { router_->on_timer(now); });
-        } catch (const std::bad_alloc &) { // the next sweep finds what this one left
+        } catch (const std::bad_alloc &) { // the next call finds what this one left
         }
     }
 }
--- a/src/proxy/request/dispatcher.hpp
+++ b/src/proxy/request/dispatcher.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// The router behind one lock, with its clock and its timer. Threads report what they saw; what the router
-// decides is handed to the query it names, and that query's thread is called out of its wait.
+// The router behind one lock, with its clock and its timer. Threads report events; what the router decides is
+// handed to the request that it names, whose thread is woken.
 #pragma once
 
 #include "net/threads.hpp"
@@ -13,83 +13,93 @@
 
 namespace harrierpass::proxy {
 
-// What the router wants of a query now.
+// What the router wants of a request now.
 struct routing_decision {
     enum class kind : std::uint8_t { queued, start_attempt, attempt_running, reject, fail };
     kind kind_of = kind::queued;
-    index endpoint = none;  // send, running
-    index attempt = 0;      // its number: send, running
-    bool cancel = false;    // running: give the execution up
-    double retry_after = 0; // reject: advised wait, s
+    index endpoint = none;  // start_attempt, attempt_running
+    index attempt = 0;      // its number: start_attempt, attempt_running
+    bool cancel = false;    // attempt_running: the attempt is to be abandoned
+    double retry_after = 0; // reject: s that the client is to wait
 };
 
-// A query as its thread and the desk both know it; the thread reads it through the desk.
+// A request as its thread and the dispatcher know it. Protected by the dispatcher's lock; its thread reads it
+// through the dispatcher alone.
 class request_handle {
     friend class dispatcher;
     index request_ = none;
     pthread_t waiter_{};
     routing_decision decision_;
     index attempts_started_ = 0;
-    std::vector<index> endpoints_used_; // the servers of its executions
+    std::vector<index> endpoints_used_; // of its attempts
 };
 
-// How a desk comes by its router; other than make_router() for comparisons only.
-using router_factory = std::unique_ptr<router> (*)(const router_settings &given, std::uint32_t seed,
+// Makes the router; another one than the default is for comparisons only.
+using router_factory = std::unique_ptr<router> (*)(const router_settings &settings, std::uint32_t seed,
                                                    double now);
 
+// Every member may be called from any thread, except where it says otherwise.
 class dispatcher {
 public:
-    dispatcher(std::shared_ptr<const configuration> given,
-               router_factory made_by = subsets::make_subset_router);
+    dispatcher(std::shared_ptr<const configuration> settings,
+               router_factory make_router = subsets::make_subset_router);
 
     // The configuration in force. It may change between two calls; a copy of the pointer stays as it is.
     std::shared_ptr<const configuration> configuration_in_force();
-    // Another one is in force from now on, and the whole list as read by it: both in one step.
+    // Puts another configuration and the snapshot that was read by it into force, in one step.
     void apply(std::shared_ptr<const configuration> next, std::span<const endpoint_info> entries);
 
     double now() const; // Unix time, s; goes forward only
 
-    // What the router asks of others; neither may block.
-    std::function<void(index server)> on_check_health;
+    // What the router asks of others. Neither may block. Set before events are reported.
+    std::function<void(index endpoint)> on_check_health;
     std::function<void()> on_watch_endpoints;
 
-    // For the thread that sees the query through: every ticket that arrived must end as finished() says.
-    // False, and nothing done, where another configuration is in force than the one it was read by.
-    bool submit(request_handle &of, request_info from, const std::shared_ptr<const configuration> &by);
-    routing_decision
-    next_decision(request_handle &of); // a send is handed out once, and is running from then on
-    // Until when (s) the execution that is running may be written, to its last byte; 0: not any more.
-    double attempt_write_deadline(request_handle &of);
-    void attempt_finished(request_handle &of, outcome result, bool fetched);
-    void request_finished(request_handle &of,
-                          outcome result); // as ended(), and the query has had its final answer
-    void response_started(request_handle &of, bool fetched); // the answer goes on to the client as it comes
-    void request_body_sent(request_handle &of,
-                           double statement_end); // a long body is out; the client's time starts
-    void client_disconnected(request_handle &of);
-    bool is_released(request_handle &of);
+    // The following are for the request's own thread. A submitted request must be kept until is_released().
 
+    // False, and nothing done, where another configuration is in force than the one the request was read by.
+    bool submit(request_handle &handle, request_info request,
+                const std::shared_ptr<const configuration> &read_by);
+    // A start_attempt is handed out once; from then on it is attempt_running.
+    routing_decision next_decision(request_handle &handle);
+    // Until when (Unix time, s) the running attempt may be written, to its last byte; 0: no longer.
+    double attempt_write_deadline(request_handle &handle);
+    // `fetched`: the response came from the origin.
+    void attempt_finished(request_handle &handle, outcome result, bool fetched);
+    // As attempt_finished(), and the client has had its final response.
+    void request_finished(request_handle &handle, outcome result);
+    // The response is passed on to the client as it comes. `fetched`: from the origin.
+    void response_started(request_handle &handle, bool fetched);
+    // A long body has been sent; the time until the deadline starts.
+    void request_body_sent(request_handle &handle, double deadline);
+    void client_disconnected(request_handle &handle);
+    // Whether the router has let go of the request.
+    [[nodiscard]] bool is_released(request_handle &handle);
+
+    // The endpoint list changed, or a poll for it failed.
     void endpoints_updated(endpoint_update_kind kind, std::span<const endpoint_info> entries);
-    void health_check_finished(index server, std::optional<bool> answered); // empty: the probe was not made
-    bool is_referenced(index server);                     // a query in hand was sent there, or a probe is out
-    std::size_t count_avoided(std::span<const index> of); // of these servers, those that the router avoids
-    subset_view subset();                                 // which servers this proxy uses now
-    void run_timer(const std::function<bool()> &over);    // the timer's thread; until `over`
+    // `answered` is empty where the check was not made.
+    void health_check_finished(index endpoint, std::optional<bool> answered);
+    bool is_referenced(index endpoint); // an active request had an attempt there, or a health check runs
+    std::size_t
+    count_avoided(std::span<const index> endpoints);      // of these endpoints, those that the router avoids
+    subset_view subset();                                 // which endpoints this proxy uses now
+    void run_timer(const std::function<bool()> &stopped); // the timer thread's loop, until `stopped`
 
 private:
-    template <typename What> void report_event(What what);
-    void deliver_actions(std::vector<index> &probes, bool &subscribes);
+    template <typename Event> void report_event(Event event);
+    void deliver_actions(std::vector<index> &health_checks, bool &watch_requested);
     void reserve_references(std::span<const endpoint_info> entries);
 
     const double unix_start_;
     const double steady_start_;
-    std::mutex lock_;
+    std::mutex lock_; // protects what follows, and every request_handle
     std::shared_ptr<const configuration> configuration_;
     std::unique_ptr<router> router_;
-    std::vector<request_handle *> requests_; // by the router's index
+    std::vector<request_handle *> requests_; // by request index; null: free
     std::vector<index> free_indices_;
-    std::vector<index> references_; // by server: sends of queries in hand, probes out
-    double wake_at_;
+    std::vector<index> references_; // by endpoint: attempts of active requests, and health checks
+    double wake_at_;                // Unix time, s; when the router's timer is due
 };
 
 } // namespace harrierpass::proxy
--- a/tests/proxy/listener_test.cpp
+++ b/tests/proxy/listener_test.cpp
@@ -184,4 +184,17 @@
     CHECK(told(toy_client(fixture.port).ask(asks("read", "1"))) == "HTTP/1.1 200 [value]");
 }
 
+// Operators' tools read these names.
+TEST_CASE("listener: the names of the close reasons in the log") {
+    CHECK(name_of(close_reason::reclaimed) == std::string("reclaimed"));
+    CHECK(name_of(close_reason::draining) == std::string("draining"));
+    CHECK(name_of(close_reason::silent) == std::string("silent"));
+    CHECK(name_of(close_reason::idle) == std::string("idle"));
+    CHECK(name_of(close_reason::client_closed) == std::string("client_closed"));
+    CHECK(name_of(close_reason::client_reset) == std::string("client_reset"));
+    CHECK(name_of(close_reason::no_memory) == std::string("no_memory"));
+    CHECK(name_of(close_reason::failed) == std::string("failed"));
+    CHECK(name_of(close_reason::no_thread) == std::string("no_thread"));
+}
+
 } // namespace harrierpass::proxy
