--- a/src/proxy/operations/hot_restart.cpp
+++ b/src/proxy/operations/hot_restart.cpp
@@ -147,8 +147,8 @@
     return messages;
 }
 
-hot_restart::hot_restart(const std::string &directory, const std::string &listen)
-    : directory_(directory), name_("harrierpass-" + listen + ".sock") {}
+hot_restart::hot_restart(std::string directory, const std::string &listen)
+    : directory_(std::move(directory)), name_("harrierpass-" + listen + ".sock") {}
 
 hot_restart::~hot_restart() {
     over_ = true;
--- a/src/proxy/operations/hot_restart.hpp
+++ b/src/proxy/operations/hot_restart.hpp
@@ -61,7 +61,7 @@
     };
 
     // `directory`: where the local socket is; `listen`: whose proxy this is.
-    hot_restart(const std::string &directory, const std::string &listen);
+    hot_restart(std::string directory, const std::string &listen);
     ~hot_restart();
     hot_restart(const hot_restart &) = delete;
     hot_restart &operator=(const hot_restart &) = delete;
--- a/tests/proxy/hot_restart_test.cpp
+++ b/tests/proxy/hot_restart_test.cpp
@@ -17,7 +17,9 @@
         {{kind::ready, ""}, "r0:"},
         {{kind::usage, to_text({.descriptors = 12, .clients = 3})}, "u4:12 3"},
         {{kind::done, ""}, "d0:"}};
-    for (const auto &[message, wire] : messages) {
+    for (const auto &each : messages) {
+        const peer_message &message = each.first;
+        const std::string &wire = each.second;
         CAPTURE(wire);
         CHECK(to_message({message}) == wire);
         const auto read = read_message(wire);
