--- a/src/admin/registry.cpp
+++ b/src/admin/registry.cpp
@@ -29,7 +29,7 @@
                        was ? tenants::to_json(*was, false) : "", is ? tenants::to_json(*is, false) : ""});
     }
     try {
-        store_.commit(*before, *after, std::move(log), idempotency_key, answer);
+        store_.commit(*before, *after, log, idempotency_key, answer);
     } catch (const store::store_failure &failed) {
         return {nullptr, {}, failed.what()};
     }
--- a/src/lab/judge/plot.cpp
+++ b/src/lab/judge/plot.cpp
@@ -6,7 +6,6 @@
 #include <cmath>
 #include <iomanip>
 #include <map>
-#include <ranges>
 #include <sstream>
 
 namespace harrierpass::lab {
@@ -85,7 +84,8 @@
                   << "' stroke-width='1.6'" << (each.dashed ? " stroke-dasharray='4 3'" : "") << "/>\n";
         }
         double x = width - right;
-        for (const auto &each : std::views::reverse(curves)) {
+        for (const auto &each :
+             std::vector(curves.rbegin(), curves.rend())) { // the first one at the right edge
             if (each.name.empty())
                 continue;
             x -= 8.0 * static_cast<double>(each.name.size()) + 24;
--- a/src/lab/processes/part.cpp
+++ b/src/lab/processes/part.cpp
@@ -96,9 +96,9 @@
 
 // ---- The run's side
 
-part_process::part_process(loop &in, event_merge &events, std::vector<std::string> command, std::string log)
-    : loop_(in), events_(events), process_(in, std::move(command), std::move(log), true),
-      source_(events.add_source()) {
+part_process::part_process(loop &in, event_merge &events, std::vector<std::string> command,
+                           const std::string &log)
+    : loop_(in), events_(events), process_(in, std::move(command), log, true), source_(events.add_source()) {
     process_.on_exit = [this] {
         link_->drain();
         if (!ends_ && on_death)
--- a/src/lab/processes/part.hpp
+++ b/src/lab/processes/part.hpp
@@ -72,7 +72,7 @@
 // The run's side of one part.
 class part_process {
 public:
-    part_process(loop &in, event_merge &events, std::vector<std::string> command, std::string log);
+    part_process(loop &in, event_merge &events, std::vector<std::string> command, const std::string &log);
     void start();
     void kill();            // outright; what it had written is heard first
     void stop(bool begins); // SIGSTOP, SIGCONT
--- a/src/lab/processes/plant_proxy.cpp
+++ b/src/lab/processes/plant_proxy.cpp
@@ -113,12 +113,12 @@
         return ready.empty() ? nullptr : ready[chance_.below(static_cast<std::uint32_t>(ready.size()))];
     }
 
-    void send(const query &what, std::function<void(const http_reader &)> came,
-              std::function<void(bool)> failed) {
+    void send(const query &what, const std::function<void(const http_reader &)> &came,
+              const std::function<void(bool)> &failed) {
         const server *const to = choose();
         if (to == nullptr)
             return failed(false);
-        connect(to->at, std::move(came), std::move(failed))->send(what.text);
+        connect(to->at, came, failed)->send(what.text);
     }
     void send_unheard(const query &what) {
         send(
--- a/src/lab/program/subset_table.cpp
+++ b/src/lab/program/subset_table.cpp
@@ -16,9 +16,9 @@
 
 constexpr double answers = 4; // mean works of a query that its answer takes; for what is in flight
 
-using subsets::coverage_report;
-using subsets::coverage_proxy;
 using subsets::coverage_endpoint;
+using subsets::coverage_proxy;
+using subsets::coverage_report;
 
 struct change {
     const char *name;
--- a/src/lab/runs/virtual_proxy.cpp
+++ b/src/lab/runs/virtual_proxy.cpp
@@ -72,9 +72,9 @@
     obey();
 }
 
-void virtual_proxy::end(std::function<void()> gone) {
+void virtual_proxy::end(const std::function<void()> &gone) {
     ends_ = true;
-    wait_end(std::move(gone), clock_.now() + end_time);
+    wait_end(gone, clock_.now() + end_time);
 }
 
 void virtual_proxy::wait_end(const std::function<void()> &gone, double limit) {
--- a/src/lab/runs/virtual_proxy.hpp
+++ b/src/lab/runs/virtual_proxy.hpp
@@ -32,7 +32,7 @@
 
     void kill(bool planned = false); // outright, or at a planned end; start() begins it anew
     // Told to end: takes no more, answers what it holds (3 s at most), and is gone then.
-    void end(std::function<void()> gone);
+    void end(const std::function<void()> &gone);
     bool takes() const {
         return up() && !ends_ && (!calls_ || calls_->state() != discovery::poll_state::no_endpoints);
     }
--- a/src/lab/world/servers.cpp
+++ b/src/lab/world/servers.cpp
@@ -379,10 +379,10 @@
     return false;
 }
 
-void fleet::fetch(std::function<void(bool)> done) {
+void fleet::fetch(const std::function<void(bool)> &done) {
     if (remote_fetch)
-        return remote_fetch(std::move(done));
-    origin_.fetch(std::move(done));
+        return remote_fetch(done);
+    origin_.fetch(done);
 }
 
 void fleet::write(const job &what, index server, std::function<void(bool, bool)> done) {
--- a/src/lab/world/servers.hpp
+++ b/src/lab/world/servers.hpp
@@ -169,7 +169,7 @@
     const origin &source() const { return origin_; }
     // What all servers share, for one of them. A read's value is fetched; a write takes effect at the origin,
     // once where repeats are dropped, and voids all copies. `there`: the origin had room.
-    void fetch(std::function<void(bool there)> done);
+    void fetch(const std::function<void(bool there)> &done);
     void write(const job &what, index server, std::function<void(bool seen, bool there)> done);
     void wrote(std::uint64_t key); // the copies are void
     // Where origin and marks are in another process: these are asked instead.
--- a/src/proxy/client/close_reason.hpp
+++ b/src/proxy/client/close_reason.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Why a client's connection ends while or after a request is served on it.
+// Why a client's connection ends: while a request is served on it, after one, or between two.
 #pragma once
 
 #include <array>
@@ -15,17 +15,23 @@
     client_too_slow,       // a request did not come whole within its time limits
     client_left,           // the client closed it while its request was queued or in flight
     malformed_request,     // what came cannot be read as a request
-    shutting_down,         // the planned stop leaves no time for the rest of the request
+    shutting_down,         // the planned stop, or operators who send clients away, leave it no time
     closed_after_response, // the response said "Connection: close"
     response_not_taken,    // the client did not take its response whole, or could not get it whole
     out_of_memory,         // the proxy had no memory for the request
-    internal_error         // a fault in the proxy
+    internal_error,        // a fault in the proxy
+    reclaimed,             // idle, while others need its capacity
+    silent,                // no request since it was accepted
+    idle,                  // no further request
+    client_closed,         // the client closed it between two requests
+    no_thread              // there was no thread to serve it
 };
 
 // The texts of the log's field `reason`, by close_reason; operators' pages name them.
-inline constexpr std::array<const char *, 10> close_reason_texts = {
-    "client_cut", "client_reset",  "client_slow", "client_left", "bad_request",
-    "draining",   "answered_last", "answer_cut",  "no_memory",   "failed"};
+inline constexpr std::array<const char *, 15> close_reason_texts = {
+    "client_cut", "client_reset",  "client_slow", "client_left",   "bad_request",
+    "draining",   "answered_last", "answer_cut",  "no_memory",     "failed",
+    "reclaimed",  "silent",        "idle",        "client_closed", "no_thread"};
 
 constexpr const char *log_text(close_reason reason) {
     return close_reason_texts[static_cast<std::size_t>(reason)];
--- a/src/proxy/client/listener.cpp
+++ b/src/proxy/client/listener.cpp
@@ -1,6 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "proxy/client/listener.hpp"
 
+#include "proxy/client/response_writer.hpp"
+
 #include <algorithm>
 #include <array>
 #include <cerrno>
@@ -25,28 +27,9 @@
     2.2;                            // s, where room is short; some send one request and never close
 constexpr double idle_timeout = 30; // s; a client may vanish without closing
 constexpr double no_thread_write_timeout = 0.05; // s for which one answer may hold up accepting
-constexpr std::string_view no_thread_response =
-    "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
-
-constexpr std::array close_reason_names = {
-    std::pair{close_reason::reclaimed, "reclaimed"},
-    std::pair{close_reason::draining, "draining"},
-    std::pair{close_reason::silent, "silent"},
-    std::pair{close_reason::idle, "idle"},
-    std::pair{close_reason::client_closed, "client_closed"},
-    std::pair{close_reason::client_reset, "client_reset"},
-    std::pair{close_reason::no_memory, "no_memory"},
-    std::pair{close_reason::failed, "failed"},
-    std::pair{close_reason::no_thread, "no_thread"},
-};
 
 } // namespace
 
-const char *name_of(close_reason reason) {
-    return std::ranges::find_if(close_reason_names, [&](const auto &each) { return each.first == reason; })
-        ->second;
-}
-
 void listener::run() {
     double stale_closed_at = 0;
     do {
@@ -105,7 +88,7 @@
                 [this, entry, shared, at = to_text(peer)] { serve(*entry, std::move(*shared), at); }))
             return true;
         // The client may have sent its request already, so it has a whole answer.
-        write_all(shared->socket, no_thread_response, {}, no_thread_write_timeout);
+        write_fallback_response(shared->socket, fallback_response::unavailable, no_thread_write_timeout);
         close_gracefully(shared->socket, retry_pause, buffer_size);
     } catch (const std::bad_alloc &) { // closed as for want of a thread
     }
@@ -142,7 +125,7 @@
 // `entry`: null where there was no memory for one. Closes an idle connection, whose thread is then free.
 void listener::reject_without_thread(const connection_entry *entry, const std::string &peer) {
     context_.logger.warning("connection-end side=client peer=", peer,
-                            " queries=0 open=0 reason=", name_of(close_reason::no_thread));
+                            " queries=0 open=0 reason=", log_text(close_reason::no_thread));
     close_one_idle();
     context_.counts.add(counter::client_connections_closed);
     if (entry != nullptr)
@@ -156,7 +139,7 @@
         entry.started = true;
     }
     connection.connected_at = context_.routing.now();
-    const char *const reason = serve_requests(entry, connection);
+    const close_reason reason = serve_requests(entry, connection);
     connection.socket.close();
     connection.buffer.reset();
     context_.upstreams.reserve_for_clients(connections() - 1, context_.routing.now());
@@ -164,27 +147,27 @@
     context_.logger.info("connection-end side=client peer=", peer, " queries=", connection.requests,
                          " open=", context_.routing.now() - connection.connected_at,
                          " rested=", entry.idle_before, " stopping-for=", context_.time_since_stop(),
-                         " reason=", reason);
+                         " reason=", log_text(reason));
     remove_entry(entry);
 }
 
-// Until the connection is to close; returns the reason's name.
-const char *listener::serve_requests(connection_entry &entry, client_connection &connection) {
+// Until the connection is to close; returns the reason.
+close_reason listener::serve_requests(connection_entry &entry, client_connection &connection) {
     try {
         for (;;) {
             if (!connection.buffer)
                 if (const auto reason = await_request(entry, connection))
-                    return name_of(*reason);
+                    return *reason;
             connection.closes_after_response = entry.must_close || exceeds(crowded_share);
             ++connection.requests;
-            if (const char *const reason = serve_request(context_, connection))
-                return reason;
+            if (const close_decision decision = serve_request(context_, connection))
+                return *decision;
         }
     } catch (const std::bad_alloc &) {
-        return name_of(close_reason::no_memory);
+        return close_reason::out_of_memory;
     } catch (const std::exception &error) {
         context_.logger.error("query-failed error=", error.what());
-        return name_of(close_reason::failed);
+        return close_reason::internal_error;
     }
 }
 
@@ -230,7 +213,7 @@
     if (entry.must_close)
         return close_reason::reclaimed;
     if (context_.closes_idle() && idle_for >= context_.idle_close_delay())
-        return close_reason::draining;
+        return close_reason::shutting_down;
     if (connection.requests == 0)
         return idle_for >= first_request_timeout ? std::optional(close_reason::silent) : std::nullopt;
     if (idle_for >= idle_timeout)
--- a/src/proxy/client/listener.hpp
+++ b/src/proxy/client/listener.hpp
@@ -3,6 +3,7 @@
 // left for further ones.
 #pragma once
 
+#include "proxy/client/close_reason.hpp"
 #include "proxy/request/request_session.hpp"
 
 #include <algorithm>
@@ -16,22 +17,6 @@
 
 namespace harrierpass::proxy {
 
-// Why the listener closes a client's connection. A request's own reasons are serve_request()'s.
-enum class close_reason : std::uint8_t {
-    reclaimed,     // idle, while others need its room
-    draining,      // idle, while the proxy sends its clients away
-    silent,        // no request since it was accepted
-    idle,          // no further request
-    client_closed, // the client's end
-    client_reset,
-    no_memory,
-    failed,
-    no_thread,
-};
-
-// The reason's name in the log.
-[[nodiscard]] const char *name_of(close_reason reason);
-
 class listener {
 public:
     // At `max_connections` further connections have their requests rejected, and somewhat above it they are
@@ -80,7 +65,7 @@
     void notify_of_stop();
     void wake_all();
     void serve(connection_entry &entry, client_connection connection, const std::string &peer);
-    const char *serve_requests(connection_entry &entry, client_connection &connection);
+    close_reason serve_requests(connection_entry &entry, client_connection &connection);
     std::optional<close_reason> await_request(connection_entry &entry, client_connection &connection);
     std::optional<close_reason> idle_close_reason(const connection_entry &entry,
                                                   const client_connection &connection, double idle_for);
--- a/src/proxy/discovery/discovery_client.cpp
+++ b/src/proxy/discovery/discovery_client.cpp
@@ -82,7 +82,7 @@
         return true;
     upstream_.set_disabled(*slot, true);
     republish(id);
-    upstream_.close_idle_of(*slot, dispatcher_.now(), "out");
+    upstream_.close_idle_of(*slot, dispatcher_.now(), upstream_close_reason::disabled);
     log_.info("taken-out server=", id);
     return true;
 }
@@ -311,7 +311,7 @@
     else
         dispatcher_.endpoints_updated(kind, entries);
     for (const index slot : registry_.retire_missing(list, is_snapshot(kind)))
-        upstream_.close_idle_of(slot, dispatcher_.now(), "gone");
+        upstream_.close_idle_of(slot, dispatcher_.now(), upstream_close_reason::endpoint_removed);
 }
 
 // The list's entries as the router is to see them. The caller holds registry_lock_.
--- a/src/proxy/operations/control_server.cpp
+++ b/src/proxy/operations/control_server.cpp
@@ -185,7 +185,8 @@
 }
 
 void control_server::answer(client &to, const response &content) {
-    const std::string head = answer_head(content.status, content.fields, content.body.size(), false);
+    const std::string head =
+        response_head(content.status, content.fields, content_length_header(content.body.size()), false);
     write_all(to.socket, head, content.body, write_timeout);
     ::shutdown(to.socket.get(), SHUT_WR);
     to.answered = true;
--- a/src/proxy/request/protocol.cpp
+++ b/src/proxy/request/protocol.cpp
@@ -147,10 +147,6 @@
     return field;
 }
 
-std::string answer_head(int status, string_view fields, std::size_t size, bool keep_connection) {
-    return response_head(status, fields, content_length_header(size), keep_connection);
-}
-
 std::string response_head(int status, string_view fields, string_view framing_field, bool keep_connection) {
     const auto known = std::find_if(status_phrases.begin(), status_phrases.end(),
                                     [&](const status_phrase &each) { return each.status == status; });
--- a/src/proxy/request/protocol.hpp
+++ b/src/proxy/request/protocol.hpp
@@ -42,7 +42,5 @@
 // says that the connection closes.
 std::string response_head(int status, std::string_view fields, std::string_view framing_field,
                           bool keep_connection);
-// The same for a body of a known size.
-std::string answer_head(int status, std::string_view fields, std::size_t size, bool keep_connection);
 
 } // namespace harrierpass::proxy
--- a/src/proxy/request/request_session.cpp
+++ b/src/proxy/request/request_session.cpp
@@ -367,16 +367,16 @@
 
 } // namespace
 
-const char *serve_request(proxy_context &context, client_connection &client) {
+close_decision serve_request(proxy_context &context, client_connection &client) {
     const close_decision decision = serve_one(context, client);
     if (!decision)
-        return nullptr;
+        return decision;
     // The process has to be gone, by itself, before a planned stop's kill.
     const double until_stop = std::max(0.0, context.respond_by + stop_linger - context.routing.now());
     if (client.lingering.max_bytes > 0)
         close_gracefully(client.socket, std::min(client.lingering.limit, until_stop),
                          client.lingering.max_bytes);
-    return log_text(*decision);
+    return decision;
 }
 
 } // namespace harrierpass::proxy
--- a/src/proxy/request/request_session.hpp
+++ b/src/proxy/request/request_session.hpp
@@ -3,12 +3,13 @@
 #pragma once
 
 #include "proxy/client/client_connection.hpp"
+#include "proxy/client/close_reason.hpp"
 #include "proxy/request/proxy_context.hpp"
 
 namespace harrierpass::proxy {
 
-// Serves the next request of the connection in the calling thread, which owns the connection. Null: the
-// connection goes on; else why it ends, as the log names it.
-const char *serve_request(proxy_context &context, client_connection &client);
+// Serves the next request of the connection in the calling thread, which owns the connection. Empty:
+// the connection is kept; else why it ends.
+close_decision serve_request(proxy_context &context, client_connection &client);
 
 } // namespace harrierpass::proxy
--- a/src/proxy/upstream/upstream_pool.cpp
+++ b/src/proxy/upstream/upstream_pool.cpp
@@ -181,12 +181,6 @@
     close_all(closing, now);
 }
 
-void upstream_pool::close_idle_of(index endpoint, double now, const char *reason_text) {
-    using enum upstream_close_reason;
-    const bool by_operator = std::string_view(reason_text) == log_text(disabled);
-    close_idle_of(endpoint, now, by_operator ? disabled : endpoint_removed);
-}
-
 void upstream_pool::close_stale(double now) {
     std::vector<closing_connection> closing;
     {
--- a/src/proxy/upstream/upstream_pool.hpp
+++ b/src/proxy/upstream/upstream_pool.hpp
@@ -81,8 +81,6 @@
 
     // Closes all that are idle at the endpoint.
     void close_idle_of(index endpoint, double now, upstream_close_reason reason);
-    // The same, by the reason's log text: the one of `disabled`, else `endpoint_removed` is meant.
-    void close_idle_of(index endpoint, double now, const char *reason_text);
     // Closes the idle ones that cannot be used again.
     void close_stale(double now);
     // Closes the connection that has been idle longest, for its descriptor. False: none is idle.
--- a/tests/hosted/hosted_test.cpp
+++ b/tests/hosted/hosted_test.cpp
@@ -139,6 +139,7 @@
     std::atomic<bool> over = false;
     std::atomic<std::uint64_t> looked = 0, lost = 0;
     std::vector<std::thread> readers;
+    readers.reserve(3);
     for (int i = 0; i < 3; ++i)
         readers.emplace_back([&] {
             while (!over) {
@@ -166,9 +167,10 @@
 
 // Tenants that ask at their rates for a while, each query open for its time: what each was granted of it.
 struct crowd {
-    explicit crowd(double room, std::vector<tenant> all, index proxies = 1) : keeps(room, proxies) {
+    explicit crowd(double room, const std::vector<tenant> &all, index proxies = 1) : keeps(room, proxies) {
         std::vector<change> steps;
-        for (auto &each : all)
+        steps.reserve(all.size());
+        for (const auto &each : all)
             steps.push_back({kind::create, each, {}});
         set = after(nobody, steps);
         keeps.adopt(*set, 0);
@@ -232,7 +234,9 @@
     flooded = calm;
     flooded["t0"] = 20 * 50;
     const auto before = of.play(calm, 0.1, 20), during = of.play(flooded, 0.1, 20);
-    for (const auto &[name, share] : before) {
+    for (const auto &each : before) {
+        const auto &name = each.first;
+        const double share = each.second;
         CAPTURE(name);
         CHECK(share > 0.99);
         if (name != "t0")
@@ -329,6 +333,8 @@
 // ---- The store
 
 struct folder {
+    folder(const folder &) = delete;
+    folder &operator=(const folder &) = delete;
     folder() {
         std::string name = (std::filesystem::temp_directory_path() / "hosted-XXXXXX").string();
         if (::mkdtemp(name.data()) == nullptr)
@@ -975,6 +981,7 @@
     caller silent(port->at(), false);
     CHECK(silent.read().empty()); // ended, in its time
     std::vector<std::unique_ptr<caller>> many;
+    many.reserve(12);
     for (int i = 0; i < 12; ++i)
         many.push_back(std::make_unique<caller>(port->at(), false));
     for (auto &each : many) // all are served, four at a time
@@ -1020,6 +1027,7 @@
         keeps.adopt(*of.all.now(), i);
     MESSAGE("a version adopted by the limits: ", (seconds() - began) / 20 * 1e6, " us");
     std::vector<std::string> hosts;
+    hosts.reserve(10000);
     for (int i = 0; i < 10000; ++i)
         hosts.push_back("tenant-" + std::to_string((i * 7919) % 10000) + ".example.org");
     const auto query = [&](int i) {
--- a/tests/lab/cold_start_test.cpp
+++ b/tests/lab/cold_start_test.cpp
@@ -63,7 +63,7 @@
     experiment given =
         parse_experiment(tier + "[proxies]\ncount = 24\nshared_list = true\n" + proxies + faults, "day.toml");
     given.proxies.shared_list = !agent;
-    const auto run = on_sockets(given, logs);
+    auto run = on_sockets(given, logs);
     for (const auto &each : run.stories)
         MESSAGE(each);
     CHECK(run.broken() == 0);
--- a/tests/lab/lab_test.cpp
+++ b/tests/lab/lab_test.cpp
@@ -123,7 +123,9 @@
         {"seeds = [1, \"x\"]\n" + use, "day.toml:1: seeds holds what is no whole number below 2.14748e+09"},
         {"length = \"1s\"\nlength = \"1s\"\n" + use, "day.toml:2:"},
         {"[fleet\n" + use, "day.toml:1:"}};
-    for (const auto &[text, why] : all) {
+    for (const auto &each : all) {
+        const auto &text = each.first;
+        const auto &why = each.second;
         CAPTURE(text);
         CHECK(said(text).substr(0, why.size()) == why);
     }
@@ -226,7 +228,9 @@
         {plant::ignore_drain, rule::drain},  {plant::push_cold, rule::cold},
         {plant::late, rule::late},           {plant::wrong_body, rule::wrong_body}};
     const experiment given = made(day);
-    for (const auto &[breaks, which] : all) {
+    for (const auto &each : all) {
+        const plant breaks = each.first;
+        const rule which = each.second;
         variant_spec as;
         as.breaks = breaks;
         const auto run = run_virtual(given, as, 1);
@@ -421,7 +425,7 @@
 }
 
 run_result on_sockets(const std::string &rest, bool embeds, decider by = decider::module) {
-    const auto run = on_sockets(made(rest), "", plant::nothing, by, embeds);
+    auto run = on_sockets(made(rest), "", plant::nothing, by, embeds);
     CAPTURE(run.stories);
     std::string stories;
     for (const auto &each : run.stories)
--- a/tests/lab/many_test.cpp
+++ b/tests/lab/many_test.cpp
@@ -45,6 +45,8 @@
 
 // A socket in the loop that keeps what it hears.
 struct talker {
+    talker(const talker &) = delete;
+    talker &operator=(const talker &) = delete;
     talker(loop &with, tcp_socket from) : in(with), socket(std::move(from)) {
         in.watch(socket.get(), EPOLLIN | EPOLLOUT, [this](std::uint32_t events) {
             int failed = 0;
@@ -93,6 +95,8 @@
 // Two proxies before two far ends that answer each byte with itself. Link 0-0 is what a fault names; 1-1 is
 // well and shows that time has passed for both.
 struct wires {
+    wires(const wires &) = delete;
+    wires &operator=(const wires &) = delete;
     explicit wires(const std::string &faults)
         : given(made("[fleet]\nservers = 2\n[proxies]\ncount = 2\n" + faults)), table(given, 2, 1),
           between(in, table, 1) {
@@ -396,7 +400,9 @@
         {"[[fault]]\nkind = \"proxy_end\"\nat = \"1s\"\nproxy_share = 1\nsteps = 2\n",
          "day.toml:6: steps and over go together"},
     };
-    for (const auto &[text, why] : all) {
+    for (const auto &each : all) {
+        const auto &text = each.first;
+        const auto &why = each.second;
         CAPTURE(text);
         CHECK(said(text).substr(0, why.size()) == why);
     }
@@ -686,7 +692,9 @@
         {plant::ignore_drain, rule::drain},  {plant::push_cold, rule::cold},
         {plant::late, rule::late},           {plant::wrong_body, rule::wrong_body}};
     const experiment given = made(day);
-    for (const auto &[breaks, which] : all) {
+    for (const auto &each : all) {
+        const plant breaks = each.first;
+        const rule which = each.second;
         CAPTURE(std::string(name_of(which)));
         const auto run = on_sockets(given, "", breaks);
         CHECK(run.rules[static_cast<std::size_t>(which)].second > 0);
@@ -703,7 +711,7 @@
     CHECK(calm.broken() == 0);
     CHECK(calm.service > 0.99);
     const auto with = [&](const std::string &faults) {
-        const auto run = run_virtual(made(day + faults), {}, 1);
+        auto run = run_virtual(made(day + faults), {}, 1);
         CAPTURE(faults);
         for (const auto &each : run.stories)
             MESSAGE(each);
--- a/tests/proxy/listener_test.cpp
+++ b/tests/proxy/listener_test.cpp
@@ -186,15 +186,15 @@
 
 // Operators' tools read these names.
 TEST_CASE("listener: the names of the close reasons in the log") {
-    CHECK(name_of(close_reason::reclaimed) == std::string("reclaimed"));
-    CHECK(name_of(close_reason::draining) == std::string("draining"));
-    CHECK(name_of(close_reason::silent) == std::string("silent"));
-    CHECK(name_of(close_reason::idle) == std::string("idle"));
-    CHECK(name_of(close_reason::client_closed) == std::string("client_closed"));
-    CHECK(name_of(close_reason::client_reset) == std::string("client_reset"));
-    CHECK(name_of(close_reason::no_memory) == std::string("no_memory"));
-    CHECK(name_of(close_reason::failed) == std::string("failed"));
-    CHECK(name_of(close_reason::no_thread) == std::string("no_thread"));
+    CHECK(log_text(close_reason::reclaimed) == std::string("reclaimed"));
+    CHECK(log_text(close_reason::shutting_down) == std::string("draining"));
+    CHECK(log_text(close_reason::silent) == std::string("silent"));
+    CHECK(log_text(close_reason::idle) == std::string("idle"));
+    CHECK(log_text(close_reason::client_closed) == std::string("client_closed"));
+    CHECK(log_text(close_reason::client_reset) == std::string("client_reset"));
+    CHECK(log_text(close_reason::out_of_memory) == std::string("no_memory"));
+    CHECK(log_text(close_reason::internal_error) == std::string("failed"));
+    CHECK(log_text(close_reason::no_thread) == std::string("no_thread"));
 }
 
 } // namespace harrierpass::proxy
--- a/tests/proxy/operators_test.cpp
+++ b/tests/proxy/operators_test.cpp
@@ -368,6 +368,8 @@
 // One more server, which writes and reads by hand: its listening socket and what it does with a connection.
 class hand_server {
 public:
+    hand_server(const hand_server &) = delete;
+    hand_server &operator=(const hand_server &) = delete;
     explicit hand_server(std::function<void(int fd)> what)
         : what_(std::move(what)), listening_(::socket(AF_INET, SOCK_STREAM, 0)) {
         auto at = test::loopback(0);
--- a/tests/proxy/planned_stop_test.cpp
+++ b/tests/proxy/planned_stop_test.cpp
@@ -55,7 +55,7 @@
         auto &client = clients.emplace_back(process.port, i + 1);
         threads.emplace_back([&] { client.run([&] { return over.load(); }); });
     }
-    with.servers[0].wait_for_any(with.servers[1], 4 * clients_at_once);
+    with.servers[0].wait_for_any(with.servers[1], std::size_t{4} * clients_at_once);
     before_stop();
     process.proxy.signal(SIGTERM);
     std::this_thread::sleep_for(std::chrono::duration<double>(longest_deadline_ms * 1e-3 + kill_delay));
@@ -96,7 +96,7 @@
     const auto reload = [&] {
         with.silent = true;
         std::string text = with.config;
-        for (std::size_t at; (at = text.find("\"statementTimeoutMs\":1000")) != text.npos;)
+        for (std::size_t at; (at = text.find("\"statementTimeoutMs\":1000")) != std::string::npos;)
             text.replace(at, 25, "\"statementTimeoutMs\":" + std::to_string(shorter_ms));
         process.reload(text);
         process.proxy.wait_for("reloaded ");
--- a/tests/proxy/proxy_test.cpp
+++ b/tests/proxy/proxy_test.cpp
@@ -764,6 +764,7 @@
     constexpr int workers = 4, each = 150;
     std::atomic<int> served = 0, asked = 0;
     std::vector<std::thread> clients;
+    clients.reserve(workers);
     for (int worker = 0; worker < workers; ++worker)
         clients.emplace_back([&, worker] {
             toy_client from(it.port);
--- a/tests/support/helpers.hpp
+++ b/tests/support/helpers.hpp
@@ -271,8 +271,10 @@
 // text to send before the close, or "hold": nothing until push() brings the text.
 class toy_server {
 public:
-    explicit toy_server(std::function<std::string(const std::string &request)> how) : how_(std::move(how)) {
-        listening_ = ::socket(AF_INET, SOCK_STREAM, 0);
+    toy_server(const toy_server &) = delete;
+    toy_server &operator=(const toy_server &) = delete;
+    explicit toy_server(std::function<std::string(const std::string &request)> how)
+        : how_(std::move(how)), listening_(::socket(AF_INET, SOCK_STREAM, 0)) {
         auto at = loopback(0);
         socklen_t size = sizeof at;
         if (::bind(listening_, reinterpret_cast<sockaddr *>(&at), size) != 0 || ::listen(listening_, 64) != 0)
--- a/tests/support/lab_helpers.hpp
+++ b/tests/support/lab_helpers.hpp
@@ -5,16 +5,14 @@
 #include "lab/loop/channel.hpp"
 
 #include <doctest/doctest.h>
-#include <source_location>
 
 namespace harrierpass::lab {
 
 // Plays the loop until something is there, or fails.
-inline void until(loop &in, const std::function<bool()> &what,
-                  const std::source_location &where = std::source_location::current()) {
+inline void until(loop &in, const std::function<bool()> &what, int line = __builtin_LINE()) {
     const double end = in.clock.now() + 20;
     in.run([&] { return what() || in.clock.now() > end; });
-    CAPTURE(where.line());
+    CAPTURE(line);
     REQUIRE(what());
 }
 
--- a/tests/support/process_helpers.hpp
+++ b/tests/support/process_helpers.hpp
@@ -13,7 +13,7 @@
 using test::count_of;
 
 inline std::string folder_of(const char *name) {
-    const std::string made =
+    std::string made =
         std::filesystem::temp_directory_path() / (std::string(name) + std::to_string(::getpid()));
     std::filesystem::create_directories(made);
     return made;
--- a/tests/support/stand.hpp
+++ b/tests/support/stand.hpp
@@ -147,6 +147,8 @@
 
 // A private directory as the platform gives one, for as long as it lives.
 struct own_directory {
+    own_directory(const own_directory &) = delete;
+    own_directory &operator=(const own_directory &) = delete;
     own_directory()
         : path(std::filesystem::temp_directory_path() / ("harrierpass-test-" + std::to_string(::getpid()))) {
         std::filesystem::create_directory(path);
@@ -161,6 +163,8 @@
 
 // The program itself, started with a stand's configuration in a file that it may be told to read again.
 struct running {
+    running(const running &) = delete;
+    running &operator=(const running &) = delete;
     running(stand &with, const std::string &file)
         : path(std::filesystem::temp_directory_path() /
                ("harrierpass-" + std::to_string(::getpid()) + "-" + file)),
