--- a/tests/proxy/crossings_test.cpp
+++ b/tests/proxy/crossings_test.cpp
@@ -189,6 +189,7 @@
     const own_directory own;
     stand with({.port = free_port(), .control = true, .starts = false});
     running first(with, "serves.json");
+    own.wait_for_successor_socket();
     with.silent = true;
     auto &config = with.config;
     config.replace(config.find("\"known\":"), 0, "\"startup\":{\"list_service\":\"shared\"},");
--- a/tests/proxy/operators_test.cpp
+++ b/tests/proxy/operators_test.cpp
@@ -283,6 +283,7 @@
     const own_directory own;
     stand with({.port = free_port(), .control = true, .starts = false});
     running first(with, "stays.json");
+    own.wait_for_successor_socket();
     load clients(first.port);
     {
         running next(with, "dies.json");
@@ -306,6 +307,7 @@
     const own_directory own;
     stand with({.port = free_port(), .control = true, .starts = false});
     running first(with, "drained.json");
+    own.wait_for_successor_socket();
     CHECK(status_of(call_door(first.door, "POST /drain")) == "HTTP/1.1 200");
     running next(with, "after.json");
     first.proxy.wait_for("succeeded");
--- a/tests/support/stand.hpp
+++ b/tests/support/stand.hpp
@@ -7,9 +7,11 @@
 #include "base/text.hpp"
 #include "proxy/service.hpp"
 
+#include <algorithm>
 #include <atomic>
 #include <doctest/doctest.h>
 #include <filesystem>
+#include <thread>
 
 namespace harrierpass::proxy {
 using test::ok;
@@ -158,6 +160,13 @@
         ::unsetenv("TMPDIR");
         std::filesystem::remove_all(path);
     }
+    // Until a proxy in this directory can hand over: a thread of its own makes the socket for successors,
+    // which may be after the proxy has logged `started`.
+    void wait_for_successor_socket() const {
+        const auto is_socket = [](const auto &entry) { return entry.path().extension() == ".sock"; };
+        while (std::none_of(std::filesystem::directory_iterator(path), {}, is_socket))
+            std::this_thread::yield();
+    }
     std::filesystem::path path;
 };
 
