--- a/src/lab/links/conditions.cpp
+++ b/src/testbed/links/conditions.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/links/conditions.hpp"
+#include "testbed/links/conditions.hpp"
 
 #include <algorithm>
 #include <array>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 namespace {
 
 constexpr std::uint64_t most_ends = 1U << 24; // of one kind; keeps a link's number whole
@@ -154,4 +154,4 @@
     }
 }
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/links/conditions.hpp
+++ b/src/testbed/links/conditions.hpp
@@ -4,13 +4,13 @@
 // experiment names is not in it: it goes directly.
 #pragma once
 
-#include "lab/world/chance.hpp"
-#include "lab/world/spec.hpp"
+#include "testbed/model/experiment.hpp"
+#include "testbed/model/random.hpp"
 
 #include <functional>
 #include <unordered_map>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 
 // Clients are one end, number 0, and so is the list.
 struct link_id {
@@ -73,4 +73,4 @@
     std::vector<std::vector<std::uint64_t>> touched_; // by fault, in order
 };
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/links/relay.cpp
+++ b/src/testbed/links/relay.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/links/relay.hpp"
+#include "testbed/links/relay.hpp"
 
-#include "lab/loop/channel.hpp"
+#include "testbed/loop/channel.hpp"
 
 #include <algorithm>
 #include <array>
@@ -14,7 +14,7 @@
 #include <system_error>
 #include <unistd.h>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 namespace {
 
 constexpr std::size_t piece_size = 65536;       // bytes read at a time
@@ -475,4 +475,4 @@
         ++counts_.delivered;
 }
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/links/relay.hpp
+++ b/src/testbed/links/relay.hpp
@@ -14,16 +14,16 @@
 //   far end refuses  the listener is closed, so the system here refuses
 #pragma once
 
-#include "lab/links/conditions.hpp"
-#include "lab/loop/loop.hpp"
 #include "net/sockets.hpp"
+#include "testbed/links/conditions.hpp"
+#include "testbed/loop/loop.hpp"
 
 #include <deque>
 #include <map>
 #include <memory>
 #include <optional>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 
 enum class far_state : std::uint8_t { up, refuses, silent };
 
@@ -129,4 +129,4 @@
     std::shared_ptr<bool> here_ = std::make_shared<bool>(true);
 };
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/links/virtual_links.hpp
+++ b/src/testbed/links/virtual_links.hpp
@@ -2,13 +2,13 @@
 // The named links in virtual time: what the relay does to bytes, done to whole messages.
 #pragma once
 
-#include "lab/links/conditions.hpp"
-#include "lab/world/timeline.hpp"
+#include "testbed/links/conditions.hpp"
+#include "testbed/model/timeline.hpp"
 
 #include <map>
 #include <tuple>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 
 class virtual_links {
 public:
@@ -61,4 +61,4 @@
     std::map<place, std::vector<held>> held_;
 };
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/load/client_port.cpp
+++ b/src/testbed/load/client_port.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/load/client_port.hpp"
+#include "testbed/load/client_port.hpp"
 
-#include "lab/world/ids.hpp"
+#include "testbed/model/ids.hpp"
 
 #include <algorithm>
 #include <charconv>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 
 client_port::client_port(loop &in, const experiment &given, clients &people, witness &judge, index proxies)
     : loop_(in), given_(given), people_(people), judge_(judge), proxies_(proxies) {
@@ -162,4 +162,4 @@
     open_.erase(on->tag);
 }
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/load/client_port.hpp
+++ b/src/testbed/load/client_port.hpp
@@ -3,10 +3,10 @@
 // and as many more as are needed.
 #pragma once
 
-#include "lab/load/clients.hpp"
-#include "lab/loop/channel.hpp"
+#include "testbed/load/clients.hpp"
+#include "testbed/loop/channel.hpp"
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 
 class client_port {
 public:
@@ -58,4 +58,4 @@
     std::size_t dials_ = 0;
 };
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/load/clients.cpp
+++ b/src/testbed/load/clients.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/load/clients.hpp"
+#include "testbed/load/clients.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <numeric>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 namespace {
 
 constexpr double parts = 120;        // parts of a run that are told apart in plots
@@ -257,4 +257,4 @@
             ask(op, due);
 }
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/load/clients.hpp
+++ b/src/testbed/load/clients.hpp
@@ -5,19 +5,19 @@
 // Closed loop: a number of clients that ask again once they have their answer.
 #pragma once
 
-#include "lab/world/histogram.hpp"
-#include "lab/world/spec.hpp"
-#include "lab/world/timeline.hpp"
-#include "lab/world/witness.hpp"
+#include "testbed/model/experiment.hpp"
+#include "testbed/model/histogram.hpp"
+#include "testbed/model/observer.hpp"
+#include "testbed/model/timeline.hpp"
 
-#include "lab/world/chance.hpp"
+#include "testbed/model/random.hpp"
 
 #include <array>
 #include <functional>
 #include <unordered_map>
 #include <vector>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 
 // One try on its way to a proxy.
 struct asking {
@@ -112,4 +112,4 @@
     histogram lateness_;
 };
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/loop/channel.cpp
+++ b/src/testbed/loop/channel.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/loop/channel.hpp"
+#include "testbed/loop/channel.hpp"
 
 #include <cerrno>
 #include <cstring>
@@ -8,7 +8,7 @@
 #include <sys/epoll.h>
 #include <sys/socket.h>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 
 address ipv4(std::uint32_t where, int port) {
     address made;
@@ -180,4 +180,4 @@
     }
 }
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/loop/channel.hpp
+++ b/src/testbed/loop/channel.hpp
@@ -3,14 +3,14 @@
 // connection at rest holds no buffer.
 #pragma once
 
-#include "lab/loop/loop.hpp"
 #include "net/http.hpp"
 #include "net/sockets.hpp"
+#include "testbed/loop/loop.hpp"
 
 #include <memory>
 #include <string>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 
 class channel : public std::enable_shared_from_this<channel> {
 public:
@@ -64,4 +64,4 @@
 // Starts to connect; without a socket where none can be had.
 tcp_socket dial_soon(const address &to);
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/loop/loop.cpp
+++ b/src/testbed/loop/loop.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/loop/loop.hpp"
+#include "testbed/loop/loop.hpp"
 
 #include "net/threads.hpp"
 
@@ -12,7 +12,7 @@
 #include <system_error>
 #include <unistd.h>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 namespace {
 
 constexpr int events_at_once = 256;
@@ -82,4 +82,4 @@
     }
 }
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/loop/loop.hpp
+++ b/src/testbed/loop/loop.hpp
@@ -3,12 +3,12 @@
 // timeline follows the machine's clock (Unix time), so that the same models run in it as in virtual time.
 #pragma once
 
-#include "lab/world/timeline.hpp"
+#include "testbed/model/timeline.hpp"
 
 #include <functional>
 #include <unordered_map>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 
 class loop {
 public:
@@ -43,4 +43,4 @@
     std::unordered_map<int, entry> entries_;
 };
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/world/spec.cpp
+++ b/src/testbed/model/experiment.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/world/spec.hpp"
+#include "testbed/model/experiment.hpp"
 
-#include "lab/world/chance.hpp"
 #include "settings/kind_names.hpp"
+#include "testbed/model/random.hpp"
 
 #include <algorithm>
 #include <array>
@@ -14,7 +14,7 @@
 #include <toml++/toml.h>
 #include <utility>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 namespace {
 
 constexpr double most_length = 86400;  // s; a run of a day
@@ -789,4 +789,4 @@
     return made;
 }
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/world/spec.hpp
+++ b/src/testbed/model/experiment.hpp
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 
 struct bad_experiment : std::runtime_error {
     using std::runtime_error::runtime_error;
@@ -201,7 +201,7 @@
     double lost = 0, doubled = 0, reordered = 0; // shares of datagrams
 };
 
-// What the system does to the proxies' processes (sockets; src/lab/faults).
+// What the system does to the proxies' processes (sockets; src/testbed/faults).
 struct system_fault_spec {
     double rate = 0;            // share of the calls that fail or do a part of what was asked
     double from = 0, lasts = 0; // s since a process's start
@@ -287,4 +287,4 @@
 const char *name_of(plant which);
 plant plant_of(const std::string &name); // throws bad_experiment
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/world/histogram.cpp
+++ b/src/testbed/model/histogram.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/world/histogram.hpp"
+#include "testbed/model/histogram.hpp"
 
 #include <algorithm>
 #include <cmath>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 
 void histogram::add(double seconds) {
     const double us = std::max(1.0, seconds * 1e6);
@@ -41,4 +41,4 @@
     return most_;
 }
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/world/histogram.hpp
+++ b/src/testbed/model/histogram.hpp
@@ -6,7 +6,7 @@
 #include <array>
 #include <cstdint>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 
 class histogram {
 public:
@@ -25,4 +25,4 @@
     double sum_ = 0, most_ = 0;
 };
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/world/ids.cpp
+++ b/src/testbed/model/ids.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/world/ids.hpp"
+#include "testbed/model/ids.hpp"
 
 #include "router/router.hpp"
 
 #include <charconv>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 
 std::string to_id(operation op, index attempt) {
     return "q" + std::to_string(op) + "-" + std::to_string(attempt);
@@ -30,4 +30,4 @@
     return "s-" + std::to_string(number);
 }
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/world/list_service.cpp
+++ b/src/testbed/model/list_service.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/world/list_service.hpp"
+#include "testbed/model/list_service.hpp"
 
 #include <algorithm>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 namespace {
 
 constexpr double most_watch = 60; // s that a watch may wait
@@ -81,4 +81,4 @@
     workers_.clear();
 }
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/world/list_service.hpp
+++ b/src/testbed/model/list_service.hpp
@@ -4,13 +4,13 @@
 // watch that is opened, and beyond a bounded queue it refuses and says when to come back.
 #pragma once
 
-#include "lab/world/membership.hpp"
-#include "lab/world/servers.hpp"
+#include "testbed/model/membership.hpp"
+#include "testbed/model/servers.hpp"
 
 #include <map>
 #include <optional>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 
 struct list_answer {
     bool refused = false, whole = false;
@@ -52,4 +52,4 @@
     bool up_ = true;
 };
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/world/membership.cpp
+++ b/src/testbed/model/membership.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/world/membership.hpp"
+#include "testbed/model/membership.hpp"
 
 #include <algorithm>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 
 member_list::member_list(const experiment &given, index servers) {
     for (index i = 0; i <= servers; ++i) {
@@ -77,4 +77,4 @@
     return changed;
 }
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/world/membership.hpp
+++ b/src/testbed/model/membership.hpp
@@ -3,14 +3,14 @@
 // silent, stale or flap. Without I/O; the virtual proxies and the HTTP port read the same object.
 #pragma once
 
-#include "lab/world/chance.hpp"
-#include "lab/world/spec.hpp"
-#include "lab/world/timeline.hpp"
+#include "testbed/model/experiment.hpp"
+#include "testbed/model/random.hpp"
+#include "testbed/model/timeline.hpp"
 
 #include <functional>
 #include <vector>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 
 // What is published, whoever keeps it: the list itself, or a copy in a process of its own.
 class member_list {
@@ -61,4 +61,4 @@
     index stale_ = 0;
 };
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/world/witness.hpp
+++ b/src/testbed/model/observer.hpp
@@ -5,11 +5,11 @@
 // times (judge/merge.hpp). Times are the speaker's clock, s.
 #pragma once
 
-#include "lab/world/spec.hpp"
+#include "testbed/model/experiment.hpp"
 
 #include <cstdint>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 
 // What a client wants once; each of its tries is a query with an id of its own.
 using operation = std::uint64_t;
@@ -49,4 +49,4 @@
     virtual void link_trouble(link_kind kind, index near, index far, bool begins) = 0;
 };
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/world/chance.hpp
+++ b/src/testbed/model/random.hpp
@@ -7,7 +7,7 @@
 #include <cstdint>
 #include <random>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 
 class chance {
 public:
@@ -34,4 +34,4 @@
     std::minstd_rand from_;
 };
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/world/servers.cpp
+++ b/src/testbed/model/servers.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/world/servers.hpp"
+#include "testbed/model/servers.hpp"
 
 #include <algorithm>
 #include <cmath>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 namespace {
 
 constexpr double error_time = 0.0005; // s; an error comes at once
@@ -405,4 +405,4 @@
         on_wrote(key);
 }
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/world/servers.hpp
+++ b/src/testbed/model/servers.hpp
@@ -3,17 +3,17 @@
 // The same objects serve a run in virtual time and one on sockets.
 #pragma once
 
-#include "lab/world/chance.hpp"
-#include "lab/world/spec.hpp"
-#include "lab/world/timeline.hpp"
-#include "lab/world/witness.hpp"
+#include "testbed/model/experiment.hpp"
+#include "testbed/model/observer.hpp"
+#include "testbed/model/random.hpp"
+#include "testbed/model/timeline.hpp"
 
 #include <deque>
 #include <functional>
 #include <list>
 #include <unordered_map>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 
 // One execution as it comes to a server.
 struct job {
@@ -198,4 +198,4 @@
     std::deque<std::pair<double, operation>> old_marks_;
 };
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/world/timeline.hpp
+++ b/src/testbed/model/timeline.hpp
@@ -9,7 +9,7 @@
 #include <queue>
 #include <vector>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 
 class timeline {
 public:
@@ -54,4 +54,4 @@
     std::priority_queue<event> due_;
 };
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/processes/answers.cpp
+++ b/src/testbed/processes/answers.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/processes/answers.hpp"
+#include "testbed/processes/answers.hpp"
 
 #include <cerrno>
 #include <charconv>
 #include <system_error>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 
 std::string text_answer(int status, std::string_view fields, std::string_view body) {
     std::string made = "HTTP/1.1 " + std::to_string(status);
@@ -35,4 +35,4 @@
     return *parse_address("127.0.0.1:" + std::to_string(port));
 }
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/processes/plant_proxy.cpp
+++ b/src/testbed/processes/faulty_proxy.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/processes/plant_proxy.hpp"
+#include "testbed/processes/faulty_proxy.hpp"
 
-#include "lab/loop/channel.hpp"
-#include "lab/processes/answers.hpp"
-#include "lab/world/chance.hpp"
+#include "testbed/loop/channel.hpp"
+#include "testbed/model/random.hpp"
+#include "testbed/processes/answers.hpp"
 
 #include <csignal>
 #include <fstream>
@@ -14,7 +14,7 @@
 #include <sys/epoll.h>
 #include <sys/signalfd.h>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 namespace {
 
 using nlohmann::json;
@@ -206,4 +206,4 @@
     return 0;
 }
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/processes/plant_proxy.hpp
+++ b/src/testbed/processes/faulty_proxy.hpp
@@ -4,11 +4,11 @@
 // knows nothing else; without a plant it breaks no rule.
 #pragma once
 
-#include "lab/world/spec.hpp"
+#include "testbed/model/experiment.hpp"
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 
 // Until SIGTERM. `configuration`: a proxy's, as fleet_ports writes it.
 int run_plant_proxy(plant breaks, const std::string &configuration);
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/processes/fleet_ports.cpp
+++ b/src/testbed/processes/fleet_ports.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/processes/fleet_ports.hpp"
+#include "testbed/processes/fleet_ports.hpp"
 
-#include "lab/processes/answers.hpp"
-#include "lab/world/ids.hpp"
+#include "testbed/model/ids.hpp"
+#include "testbed/processes/answers.hpp"
 
 #include <algorithm>
 #include <array>
@@ -11,7 +11,7 @@
 #include <sstream>
 #include <unistd.h>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 namespace {
 
 constexpr std::uint32_t part_net = 0x7f780000; // 127.120.0.0 and on: servers and lists in processes
@@ -429,4 +429,4 @@
     return made.dump(2) + "\n";
 }
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/processes/fleet_ports.hpp
+++ b/src/testbed/processes/fleet_ports.hpp
@@ -4,13 +4,13 @@
 // and the links before them.
 #pragma once
 
-#include "lab/links/relay.hpp"
-#include "lab/processes/list_port.hpp"
-#include "lab/processes/part.hpp"
-#include "lab/processes/server_port.hpp"
-#include "lab/runs/stage.hpp"
+#include "testbed/links/relay.hpp"
+#include "testbed/processes/list_port.hpp"
+#include "testbed/processes/server_port.hpp"
+#include "testbed/processes/worker_process.hpp"
+#include "testbed/runs/run_environment.hpp"
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 
 struct fleet_places {
     int first_server = 0, first_list = 0; // ports; 0: any
@@ -76,4 +76,4 @@
     std::uint64_t deaths_ = 0;
 };
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/processes/list_port.cpp
+++ b/src/testbed/processes/list_port.cpp
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/processes/list_port.hpp"
+#include "testbed/processes/list_port.hpp"
 
-#include "lab/processes/answers.hpp"
-#include "lab/world/ids.hpp"
+#include "testbed/model/ids.hpp"
+#include "testbed/processes/answers.hpp"
 
 #include <array>
 #include <nlohmann/json.hpp>
 #include <sys/epoll.h>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 
 list_port::list_port(loop &in, const experiment &given, member_list &list, list_service &service,
                      witness &sees, index proxy, const address &at, const server_places &where)
@@ -95,4 +95,4 @@
     to->send(text);
 }
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/processes/list_port.hpp
+++ b/src/testbed/processes/list_port.hpp
@@ -3,13 +3,13 @@
 // of them one service (world/list_service.hpp).
 #pragma once
 
-#include "lab/judge/figures.hpp"
-#include "lab/loop/channel.hpp"
-#include "lab/world/list_service.hpp"
+#include "testbed/loop/channel.hpp"
+#include "testbed/model/list_service.hpp"
+#include "testbed/verification/run_metrics.hpp"
 
 #include <unordered_map>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 
 // Where each server is, for one proxy: directly, or over a link.
 using server_places = std::function<std::string(index proxy, index server)>;
@@ -47,4 +47,4 @@
     std::shared_ptr<bool> here_ = std::make_shared<bool>(true);
 };
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/processes/process.cpp
+++ b/src/testbed/processes/process.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/processes/process.hpp"
+#include "testbed/processes/process.hpp"
 
 #include <array>
 #include <cerrno>
@@ -22,7 +22,7 @@
 #include <thread>
 #include <unistd.h>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 
 namespace {
 
@@ -216,4 +216,4 @@
     reap();
 }
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/processes/process.hpp
+++ b/src/testbed/processes/process.hpp
@@ -3,8 +3,8 @@
 // weighed.
 #pragma once
 
-#include "lab/loop/loop.hpp"
 #include "net/sockets.hpp"
+#include "testbed/loop/loop.hpp"
 
 #include <fstream>
 #include <future>
@@ -13,7 +13,7 @@
 #include <sys/types.h>
 #include <vector>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 
 struct process_weight {
     double cpu = 0;                // s of CPU since its start
@@ -65,4 +65,4 @@
     double cpu_ = 0;
 };
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/processes/server_port.cpp
+++ b/src/testbed/processes/server_port.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/processes/server_port.hpp"
+#include "testbed/processes/server_port.hpp"
 
-#include "lab/processes/answers.hpp"
-#include "lab/world/ids.hpp"
 #include "router/router.hpp"
+#include "testbed/model/ids.hpp"
+#include "testbed/processes/answers.hpp"
 
 #include <algorithm>
 #include <array>
@@ -11,7 +11,7 @@
 #include <sys/epoll.h>
 #include <sys/socket.h>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 namespace {
 
 constexpr double tidy_period = 0.5;   // s between looks for idle connections
@@ -220,4 +220,4 @@
     });
 }
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/processes/server_port.hpp
+++ b/src/testbed/processes/server_port.hpp
@@ -3,12 +3,12 @@
 // when; this gives it connections, and takes these away as a process or a machine that dies would.
 #pragma once
 
-#include "lab/loop/channel.hpp"
-#include "lab/world/servers.hpp"
+#include "testbed/loop/channel.hpp"
+#include "testbed/model/servers.hpp"
 
 #include <unordered_map>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 
 // One server's listener and connections.
 class server_port {
@@ -50,4 +50,4 @@
     std::shared_ptr<bool> here_ = std::make_shared<bool>(true);
 };
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/processes/part.cpp
+++ b/src/testbed/processes/worker_process.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/processes/part.hpp"
+#include "testbed/processes/worker_process.hpp"
 
-#include "lab/processes/list_port.hpp"
-#include "lab/processes/server_port.hpp"
+#include "testbed/processes/list_port.hpp"
+#include "testbed/processes/server_port.hpp"
 
 #include <array>
 #include <cerrno>
@@ -17,7 +17,7 @@
 #include <sys/socket.h>
 #include <type_traits>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 namespace {
 
 constexpr double beat_period = 0.01; // s between a part's words that it has seen nothing else
@@ -353,4 +353,4 @@
     return 0;
 }
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/processes/part.hpp
+++ b/src/testbed/processes/worker_process.hpp
@@ -11,15 +11,15 @@
 //   ready
 #pragma once
 
-#include "lab/judge/merge.hpp"
-#include "lab/loop/loop.hpp"
-#include "lab/processes/process.hpp"
-#include "lab/world/membership.hpp"
-#include "lab/world/servers.hpp"
+#include "testbed/loop/loop.hpp"
+#include "testbed/model/membership.hpp"
+#include "testbed/model/servers.hpp"
+#include "testbed/processes/process.hpp"
+#include "testbed/verification/merge.hpp"
 
 #include <memory>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 
 struct part_message {
     enum class kind : std::uint8_t {
@@ -100,4 +100,4 @@
 // What the part's program does, until the run is gone or says so. `path`: a file that the run wrote.
 int run_part(const std::string &path);
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/program/fleet_shell.cpp
+++ b/src/testbed/program/fleet_shell.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/program/fleet_shell.hpp"
+#include "testbed/program/fleet_shell.hpp"
 
-#include "lab/runs/virtual_proxy.hpp"
+#include "testbed/runs/virtual_proxy.hpp"
 
 #include <array>
 #include <csignal>
@@ -15,7 +15,7 @@
 #include <sys/stat.h>
 #include <unistd.h>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 namespace {
 
 constexpr const char *help =
@@ -134,4 +134,4 @@
     return all.judge.broken() > 0 ? 1 : 0;
 }
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/program/fleet_shell.hpp
+++ b/src/testbed/program/fleet_shell.hpp
@@ -3,11 +3,11 @@
 // typed in.
 #pragma once
 
-#include "lab/processes/fleet_ports.hpp"
+#include "testbed/processes/fleet_ports.hpp"
 
 #include <iosfwd>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 
 struct shell_options {
     fleet_places where;
@@ -19,4 +19,4 @@
 // Until SIGTERM, SIGINT or "quit". The end of the input ends nothing: it may be a background job's.
 int serve_fleet(const experiment &given, const shell_options &how);
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/program/main.cpp
+++ b/src/testbed/program/main.cpp
@@ -1,16 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
-// harrierlab: the laboratory's command line. Exit codes: 0 all is well; 1 a rule was broken; 2 the command
-// line or an experiment is not usable; 3 the machine was too slow for the run, which does not count.
-#include "lab/judge/plot.hpp"
-#include "lab/judge/report.hpp"
-#include "lab/processes/part.hpp"
-#include "lab/processes/plant_proxy.hpp"
-#include "lab/program/fleet_shell.hpp"
-#include "lab/program/subset_table.hpp"
-#include "lab/runs/deciders.hpp"
-#include "lab/runs/socket_run.hpp"
-#include "lab/runs/virtual_run.hpp"
-#include "lab/soak/soak_plan.hpp"
+// harrierpass_testbed: the laboratory's command line. Exit codes: 0 all is well; 1 a rule was broken; 2 the
+// command line or an experiment is not usable; 3 the machine was too slow for the run, which does not count.
+#include "testbed/processes/faulty_proxy.hpp"
+#include "testbed/processes/worker_process.hpp"
+#include "testbed/program/fleet_shell.hpp"
+#include "testbed/program/subset_table.hpp"
+#include "testbed/runs/baseline_policies.hpp"
+#include "testbed/runs/socket_run.hpp"
+#include "testbed/runs/virtual_run.hpp"
+#include "testbed/soak/soak_plan.hpp"
+#include "testbed/verification/plot.hpp"
+#include "testbed/verification/report.hpp"
 
 #include "proxy/service.hpp"
 
@@ -28,7 +28,7 @@
 namespace {
 
 using namespace harrierpass;
-using namespace harrierpass::lab;
+using namespace harrierpass::testbed;
 
 enum exit_code { well = 0, broken = 1, unusable = 2, too_slow = 3 };
 
@@ -143,7 +143,7 @@
 }
 
 int be_proxy(const std::string &by, const std::string &configuration) {
-    std::string path = configuration, program = "harrierlab";
+    std::string path = configuration, program = "harrierpass_testbed";
     std::array<char *, 3> words = {program.data(), path.data(), nullptr};
     return proxy::run(2, words.data(), maker_of(by));
 }
@@ -207,7 +207,7 @@
 } // namespace
 
 int main(int arguments, char **values) {
-    CLI::App app("harrierlab: fleets, load and experiments for harrierpass");
+    CLI::App app("harrierpass_testbed: fleets, load and experiments for harrierpass");
     app.require_subcommand(1);
     run_command how;
     const auto options = [&](CLI::App *to) {
@@ -220,7 +220,8 @@
         to->add_option("--trace", how.trace, "all that the referee saw of the first run");
         to->add_option("--jobs", how.jobs, "runs at a time, in virtual time")->check(CLI::Range(1, 256));
         to->add_flag("--virtual", how.is_virtual, "in virtual time, not on sockets");
-        to->add_option("--program", how.sockets.program, "the proxy; else the one beside harrierlab");
+        to->add_option("--program", how.sockets.program,
+                       "the proxy; else the one beside harrierpass_testbed");
         to->add_option("--logs", how.sockets.logs, "a folder for the proxies' logs and configurations");
         to->add_flag("--embed", how.sockets.embeds, "proxies as threads of this process");
         to->add_flag("--large", how.large, "the files' [large] size");
@@ -296,7 +297,8 @@
     soaked->add_option("--jobs", soaks.jobs, "runs at a time")->check(CLI::Range(1, 16));
     soaked->add_option("--logs", soaks.sockets.logs,
                        "a folder for the proxies' logs, one for each seed in it");
-    soaked->add_option("--program", how.sockets.program, "the proxy; else the one beside harrierlab");
+    soaked->add_option("--program", how.sockets.program,
+                       "the proxy; else the one beside harrierpass_testbed");
     soaked->add_flag("--print", soaks.prints, "prints the experiments and plays nothing");
     std::string setup;
     auto *const parts = app.add_subcommand("part", "a part of a run's world, started by the run");
@@ -362,7 +364,7 @@
         write_plot(to, all, {});
         return well;
     } catch (const std::exception &bad) {
-        std::cerr << "harrierlab: " << bad.what() << '\n';
+        std::cerr << "harrierpass_testbed: " << bad.what() << '\n';
         return unusable;
     }
 }
--- a/src/lab/program/subset_table.cpp
+++ b/src/testbed/program/subset_table.cpp
@@ -1,17 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/program/subset_table.hpp"
+#include "testbed/program/subset_table.hpp"
 
-#include "lab/load/clients.hpp"
-#include "lab/world/ids.hpp"
 #include "subsets/coverage_report.hpp"
 #include "subsets/endpoint_ranking.hpp"
+#include "testbed/load/clients.hpp"
+#include "testbed/model/ids.hpp"
 
 #include <algorithm>
 #include <iomanip>
 #include <nlohmann/json.hpp>
 #include <ostream>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 namespace {
 
 constexpr double answers = 4; // mean works of a query that its answer takes; for what is in flight
@@ -154,4 +154,4 @@
         to << std::left << std::setw(34) << each.name << std::right << each.moved << '\n';
 }
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/program/subset_table.hpp
+++ b/src/testbed/program/subset_table.hpp
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
-// harrierlab subsets: which servers the proxies of an experiment prefer, what that adds up to at each server,
-// and what a change of the fleet would move. Worked out from the file alone; nothing is started.
+// harrierpass_testbed subsets: which servers the proxies of an experiment prefer, what that adds up to at
+// each server, and what a change of the fleet would move. Worked out from the file alone; nothing is started.
 #pragma once
 
-#include "lab/world/spec.hpp"
+#include "testbed/model/experiment.hpp"
 
 #include <iosfwd>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 
 struct subset_options {
     double rate = -1;   // executions a second over all proxies; below 0: the file's load
@@ -20,4 +20,4 @@
 // The plot, SVG, goes to `plot` where there is one.
 void tell_subsets(const experiment &given, const subset_options &how, std::ostream &to, std::ostream *plot);
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/runs/deciders.cpp
+++ b/src/testbed/runs/baseline_policies.cpp
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/runs/deciders.hpp"
+#include "testbed/runs/baseline_policies.hpp"
 
-#include "lab/world/chance.hpp"
 #include "subsets/subset_router.hpp"
+#include "testbed/model/random.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <queue>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 namespace {
 
 constexpr double sweep = 0.05;    // s between looks for queries whose time is up
@@ -260,4 +260,4 @@
     return maker_of(decider_of(name));
 }
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/runs/deciders.hpp
+++ b/src/testbed/runs/baseline_policies.hpp
@@ -10,12 +10,12 @@
 //                 by
 #pragma once
 
-#include "lab/world/spec.hpp"
 #include "router/router.hpp"
+#include "testbed/model/experiment.hpp"
 
 #include <memory>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 
 // The same as a plain function, as the proxy takes it; throws bad_experiment for a name that is none.
 using decider_maker = std::unique_ptr<router> (*)(const router_settings &given, std::uint32_t seed,
@@ -26,4 +26,4 @@
 std::unique_ptr<router> make_decider(decider by, const router_settings &given, std::uint32_t seed,
                                      double now);
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/runs/stage.cpp
+++ b/src/testbed/runs/run_environment.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/runs/stage.hpp"
+#include "testbed/runs/run_environment.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <limits>
 #include <numeric>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 namespace {
 
 constexpr double flap_period = 0.5;       // s that a flapping list names a server, and leaves it out
@@ -284,4 +284,4 @@
     return made;
 }
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/runs/stage.hpp
+++ b/src/testbed/runs/run_environment.hpp
@@ -3,20 +3,20 @@
 // of faults. A link makes it whole: in virtual time, or on sockets.
 #pragma once
 
-#include "lab/judge/figures.hpp"
-#include "lab/judge/merge.hpp"
-#include "lab/judge/referee.hpp"
-#include "lab/judge/result.hpp"
-#include "lab/links/conditions.hpp"
-#include "lab/load/clients.hpp"
-#include "lab/world/list_service.hpp"
-#include "lab/world/membership.hpp"
-#include "lab/world/servers.hpp"
+#include "testbed/links/conditions.hpp"
+#include "testbed/load/clients.hpp"
+#include "testbed/model/list_service.hpp"
+#include "testbed/model/membership.hpp"
+#include "testbed/model/servers.hpp"
+#include "testbed/verification/merge.hpp"
+#include "testbed/verification/result.hpp"
+#include "testbed/verification/rule_checker.hpp"
+#include "testbed/verification/run_metrics.hpp"
 
 #include <optional>
 #include <ostream>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 
 // What the clients saw in all, into a result.
 void take_totals(run_result &to, const clients &of);
@@ -87,4 +87,4 @@
     std::uint64_t fetched_ = 0;
 };
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/runs/socket_run.cpp
+++ b/src/testbed/runs/socket_run.cpp
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/runs/socket_run.hpp"
+#include "testbed/runs/socket_run.hpp"
 
-#include "lab/load/client_port.hpp"
-#include "lab/processes/fleet_ports.hpp"
-#include "lab/processes/process.hpp"
-#include "lab/runs/deciders.hpp"
 #include "net/threads.hpp"
 #include "proxy/operations/stop_schedule.hpp"
 #include "proxy/service.hpp"
+#include "testbed/load/client_port.hpp"
+#include "testbed/processes/fleet_ports.hpp"
+#include "testbed/processes/process.hpp"
+#include "testbed/runs/baseline_policies.hpp"
 
 #include <algorithm>
 #include <csignal>
@@ -18,7 +18,7 @@
 #include <sys/resource.h>
 #include <utility>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 namespace {
 
 constexpr double slack = 0.05;      // s by which the clocks of processes and their reports may differ
@@ -52,7 +52,8 @@
 public:
     explicit run_folder(std::string given) : path_(std::move(given)) {
         if (path_.empty()) {
-            std::string name = (std::filesystem::temp_directory_path() / "harrierlab-XXXXXX").string();
+            std::string name =
+                (std::filesystem::temp_directory_path() / "harrierpass_testbed-XXXXXX").string();
             if (::mkdtemp(name.data()) == nullptr)
                 throw std::system_error(errno, std::generic_category(), "no temporary folder");
             path_ = name;
@@ -537,4 +538,4 @@
     return made;
 }
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/runs/socket_run.hpp
+++ b/src/testbed/runs/socket_run.hpp
@@ -3,9 +3,9 @@
 // process of its own, or embedded as the library that others can link.
 #pragma once
 
-#include "lab/runs/stage.hpp"
+#include "testbed/runs/run_environment.hpp"
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 
 struct socket_options {
     std::string program; // the proxy; for baselines `self` proxy --by NAME
@@ -35,4 +35,4 @@
 // Only the load, against what is there already.
 load_result run_load(const experiment &given, const load_options &how);
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/runs/virtual_proxy.cpp
+++ b/src/testbed/runs/virtual_proxy.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/runs/virtual_proxy.hpp"
+#include "testbed/runs/virtual_proxy.hpp"
 
-#include "lab/world/ids.hpp"
+#include "testbed/model/ids.hpp"
 
 #include <algorithm>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 namespace {
 
 constexpr double list_limit = 1;     // s for discovery to answer
@@ -806,4 +806,4 @@
     obey();
 }
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/runs/virtual_proxy.hpp
+++ b/src/testbed/runs/virtual_proxy.hpp
@@ -5,11 +5,11 @@
 #pragma once
 
 #include "discovery/poll_schedule.hpp"
-#include "lab/links/virtual_links.hpp"
-#include "lab/runs/deciders.hpp"
-#include "lab/runs/stage.hpp"
+#include "testbed/links/virtual_links.hpp"
+#include "testbed/runs/baseline_policies.hpp"
+#include "testbed/runs/run_environment.hpp"
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 
 // What this proxy did in all.
 struct proxy_counts {
@@ -123,4 +123,4 @@
     proxy_counts counts_;
 };
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/runs/virtual_run.cpp
+++ b/src/testbed/runs/virtual_run.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/runs/virtual_run.hpp"
+#include "testbed/runs/virtual_run.hpp"
 
 #include <chrono>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 namespace {
 
 constexpr double start_up = 0.5;         // s in which the proxies hear of the list before the load begins
@@ -159,4 +159,4 @@
     return made;
 }
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/runs/virtual_run.hpp
+++ b/src/testbed/runs/virtual_run.hpp
@@ -2,10 +2,10 @@
 // A run in virtual time: one thread, no sockets, the same trace for the same seed.
 #pragma once
 
-#include "lab/runs/stage.hpp"
-#include "lab/runs/virtual_proxy.hpp"
+#include "testbed/runs/run_environment.hpp"
+#include "testbed/runs/virtual_proxy.hpp"
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 
 struct run_options {
     std::ostream *trace = nullptr;    // all that the referee sees
@@ -15,4 +15,4 @@
 run_result run_virtual(const experiment &given, const variant_spec &as, std::uint32_t seed,
                        const run_options &how = {});
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/soak/soak_plan.cpp
+++ b/src/testbed/soak/soak_plan.cpp
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/soak/soak_plan.hpp"
+#include "testbed/soak/soak_plan.hpp"
 
-#include "lab/world/chance.hpp"
+#include "testbed/model/random.hpp"
 
 #include <array>
 #include <iomanip>
 #include <sstream>
 #include <vector>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 namespace {
 
 constexpr int proxies = 18;
@@ -200,4 +200,4 @@
     return soak_writer(seed, length).write();
 }
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/soak/soak_plan.hpp
+++ b/src/testbed/soak/soak_plan.hpp
@@ -6,9 +6,9 @@
 #include <cstdint>
 #include <string>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 
 // An experiment file (TOML) of `length` seconds.
 std::string soak_experiment(std::uint32_t seed, double length);
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/judge/merge.cpp
+++ b/src/testbed/verification/merge.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/judge/merge.hpp"
+#include "testbed/verification/merge.hpp"
 
 #include <algorithm>
 #include <limits>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 
 void play(const seen &event, witness &to) {
     switch (event.is) {
@@ -124,4 +124,4 @@
     }
 }
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/judge/merge.hpp
+++ b/src/testbed/verification/merge.hpp
@@ -5,14 +5,14 @@
 // holds the judging up, not the run.
 #pragma once
 
-#include "lab/world/timeline.hpp"
-#include "lab/world/witness.hpp"
+#include "testbed/model/observer.hpp"
+#include "testbed/model/timeline.hpp"
 
 #include <functional>
 #include <map>
 #include <vector>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 
 // One event as it is written down and sent: of a fixed size, so that what a killed process had written is
 // whole or is not there. Each kind uses the fields as witness has them.
@@ -96,4 +96,4 @@
     std::uint64_t order_ = 0;
 };
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/judge/plot.cpp
+++ b/src/testbed/verification/plot.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/judge/plot.hpp"
+#include "testbed/verification/plot.hpp"
 
 #include <algorithm>
 #include <array>
@@ -8,7 +8,7 @@
 #include <map>
 #include <sstream>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 namespace {
 
 constexpr double width = 860, left = 70, right = 20, top = 50, panel = 150, gap = 46; // px
@@ -242,4 +242,4 @@
     return made.text();
 }
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/judge/plot.hpp
+++ b/src/testbed/verification/plot.hpp
@@ -4,11 +4,11 @@
 // each, for the first one.
 #pragma once
 
-#include "lab/judge/result.hpp"
+#include "testbed/verification/result.hpp"
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 
 // Runs of one experiment; of several seeds of a variant the mean is drawn. `faults` are shaded.
 std::string plot_svg(const std::vector<run_result> &runs, const std::vector<shade> &faults);
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/judge/report.cpp
+++ b/src/testbed/verification/report.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/judge/report.hpp"
+#include "testbed/verification/report.hpp"
 
 #include "router/router.hpp"
 
@@ -16,7 +16,7 @@
 #include <set>
 #include <sstream>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 namespace {
 
 using nlohmann::json;
@@ -322,4 +322,4 @@
     to << text.str() << std::flush;
 }
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/judge/report.hpp
+++ b/src/testbed/verification/report.hpp
@@ -3,12 +3,12 @@
 // compared in pairs, with what is noise told from what is not.
 #pragma once
 
-#include "lab/judge/result.hpp"
+#include "testbed/verification/result.hpp"
 
 #include <cmath>
 #include <iosfwd>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 
 struct stored_result {
     run_result run;
@@ -39,4 +39,4 @@
 std::vector<comparison> compare(const std::vector<run_result> &runs);
 void print(std::ostream &to, const std::vector<comparison> &all);
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/judge/result.hpp
+++ b/src/testbed/verification/result.hpp
@@ -2,12 +2,12 @@
 // What a run came to, as reports, results and plots have it.
 #pragma once
 
-#include "lab/world/spec.hpp"
+#include "testbed/model/experiment.hpp"
 
 #include <cstdint>
 #include <utility>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 
 // What is shaded in a picture: a fault.
 struct shade {
@@ -51,4 +51,4 @@
     std::uint64_t broken() const;
 };
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/judge/referee.cpp
+++ b/src/testbed/verification/rule_checker.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/judge/referee.hpp"
+#include "testbed/verification/rule_checker.hpp"
 
 #include <algorithm>
 #include <bit>
@@ -10,7 +10,7 @@
 #include <sstream>
 #include <utility>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 namespace {
 
 constexpr double memory = 30;           // s after its last try in which an operation may still be executed
@@ -335,4 +335,4 @@
     }
 }
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/judge/referee.hpp
+++ b/src/testbed/verification/rule_checker.hpp
@@ -16,9 +16,9 @@
 //   end wrong_body     an answer was made for another query
 #pragma once
 
-#include "lab/world/spec.hpp"
-#include "lab/world/timeline.hpp"
-#include "lab/world/witness.hpp"
+#include "testbed/model/experiment.hpp"
+#include "testbed/model/observer.hpp"
+#include "testbed/model/timeline.hpp"
 
 #include <array>
 #include <deque>
@@ -29,7 +29,7 @@
 #include <tuple>
 #include <unordered_map>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 
 enum class rule : std::uint8_t {
     lost,
@@ -156,4 +156,4 @@
     std::uint64_t executions_ = 0, effects_ = 0, late_effects_ = 0, hash_ = 14695981039346656037ULL;
 };
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/judge/figures.cpp
+++ b/src/testbed/verification/run_metrics.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/judge/figures.hpp"
+#include "testbed/verification/run_metrics.hpp"
 
 #include <algorithm>
 #include <cmath>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 namespace {
 
 constexpr std::size_t first_seconds = 5; // of a run, told apart from the rest: a start's, a restart's
@@ -188,4 +188,4 @@
     return made;
 }
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/src/lab/judge/figures.hpp
+++ b/src/testbed/verification/run_metrics.hpp
@@ -3,15 +3,15 @@
 // the list service. Told by the stand-ins; in virtual time by the links' ends.
 #pragma once
 
-#include "lab/world/histogram.hpp"
-#include "lab/world/spec.hpp"
-#include "lab/world/timeline.hpp"
+#include "testbed/model/experiment.hpp"
+#include "testbed/model/histogram.hpp"
+#include "testbed/model/timeline.hpp"
 
 #include <cstdint>
 #include <string>
 #include <utility>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 
 enum class list_call : std::uint8_t { whole, watch, refused };
 
@@ -56,4 +56,4 @@
 // The most of these times, in their order, that lie within any `width` s.
 std::size_t most_within(const std::vector<double> &times, double width);
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/tests/support/process_helpers.hpp
+++ b/tests/support/process_helpers.hpp
@@ -4,12 +4,12 @@
 
 #include "support/helpers.hpp"
 
-#include "lab/runs/socket_run.hpp"
+#include "testbed/runs/socket_run.hpp"
 
 #include <filesystem>
 #include <unistd.h>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 using test::count_of;
 
 inline std::string folder_of(const char *name) {
@@ -24,7 +24,7 @@
                              bool embeds = false) {
     socket_options how;
     how.program = HARRIERPASS_PROGRAM;
-    how.self = HARRIERPASS_LAB_PROGRAM;
+    how.self = HARRIERPASS_TESTBED_PROGRAM;
     how.logs = logs;
     how.embeds = embeds;
     variant_spec as;
@@ -40,4 +40,4 @@
     return -1.0;
 }
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/tests/support/lab_helpers.hpp
+++ b/tests/support/testbed_helpers.hpp
@@ -2,11 +2,11 @@
 // What the laboratory's tests share: waiting for events in its loop, and a caller that keeps what it is told.
 #pragma once
 
-#include "lab/loop/channel.hpp"
+#include "testbed/loop/channel.hpp"
 
 #include <doctest/doctest.h>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 
 // Plays the loop until something is there, or fails.
 inline void until(loop &in, const std::function<bool()> &what, int line = __builtin_LINE()) {
@@ -40,4 +40,4 @@
     channel::ending why = channel::ending::closed;
 };
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/tests/lab/cold_start_test.cpp
+++ b/tests/testbed/cold_start_test.cpp
@@ -6,11 +6,11 @@
 #include "support/process_helpers.hpp"
 
 #include "base/text.hpp"
-#include "lab/judge/report.hpp"
-#include "lab/runs/socket_run.hpp"
 #include "proxy/discovery/discovery_client.hpp"
 #include "proxy/discovery/snapshot_file.hpp"
 #include "proxy/operations/startup_preview.hpp"
+#include "testbed/runs/socket_run.hpp"
+#include "testbed/verification/report.hpp"
 
 #include <csignal>
 #include <doctest/doctest.h>
@@ -20,7 +20,7 @@
 #include <sys/resource.h>
 #include <sys/wait.h>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 namespace {
 
 const std::string tier = R"(
@@ -183,7 +183,7 @@
     std::filesystem::remove_all(folder);
 }
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
 
 namespace harrierpass::proxy {
 namespace {
@@ -222,7 +222,7 @@
 
 // Guards a start against a process that was killed in the middle of keeping its list.
 TEST_CASE("killed at random instants while it is written: a whole one is there, this or the last") {
-    const std::string folder = lab::folder_of("cold-start-kills-");
+    const std::string folder = testbed::folder_of("cold-start-kills-");
     const std::string path = folder + "/p0.list";
     configuration given;
     given.name = "p0";
--- a/tests/lab/many_test.cpp
+++ b/tests/testbed/many_test.cpp
@@ -3,20 +3,20 @@
 // it should be; the referee over processes sees what is planted and judges events in their order.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include "support/helpers.hpp"
-#include "support/lab_helpers.hpp"
 #include "support/process_helpers.hpp"
+#include "support/testbed_helpers.hpp"
 
-#include "lab/judge/report.hpp"
-#include "lab/links/relay.hpp"
-#include "lab/processes/fleet_ports.hpp"
-#include "lab/runs/socket_run.hpp"
-#include "lab/runs/virtual_run.hpp"
+#include "testbed/links/relay.hpp"
+#include "testbed/processes/fleet_ports.hpp"
+#include "testbed/runs/socket_run.hpp"
+#include "testbed/runs/virtual_run.hpp"
+#include "testbed/verification/report.hpp"
 
 #include <doctest/doctest.h>
 #include <filesystem>
 #include <sys/epoll.h>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 namespace {
 
 const std::string use = R"(
@@ -489,7 +489,7 @@
     all.judge.strangers = true;
     const std::string folder = folder_of("many-parts-");
     {
-        fleet_ports ports(in, all, {}, {HARRIERPASS_LAB_PROGRAM, folder});
+        fleet_ports ports(in, all, {}, {HARRIERPASS_TESTBED_PROGRAM, folder});
         until(in, [&] { return ports.ready(); });
         caller zero(in, ports.server_at(0)), one(in, ports.server_at(1));
         zero.get("a1", "/lookup/7");
@@ -616,7 +616,7 @@
 }
 
 // The proxy's answers come before its clients' ends also where a dial would take longer: found by
-// lab/many/cut.
+// experiments/many/cut.
 TEST_CASE("no query is lost where all that a proxy dials is cut off") {
     const experiment given = made(R"(
 length = "2s"
@@ -801,4 +801,4 @@
     CHECK(figure(with, "open_most") <= figure(without, "open_most"));
 }
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
--- a/tests/lab/lab_test.cpp
+++ b/tests/testbed/testbed_test.cpp
@@ -3,22 +3,22 @@
 // files, and the real proxy on sockets before it.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include "support/helpers.hpp"
-#include "support/lab_helpers.hpp"
 #include "support/process_helpers.hpp"
+#include "support/testbed_helpers.hpp"
 
-#include "lab/judge/plot.hpp"
-#include "lab/judge/report.hpp"
-#include "lab/load/client_port.hpp"
-#include "lab/processes/fleet_ports.hpp"
-#include "lab/runs/socket_run.hpp"
-#include "lab/runs/virtual_run.hpp"
+#include "testbed/load/client_port.hpp"
+#include "testbed/processes/fleet_ports.hpp"
+#include "testbed/runs/socket_run.hpp"
+#include "testbed/runs/virtual_run.hpp"
+#include "testbed/verification/plot.hpp"
+#include "testbed/verification/report.hpp"
 
 #include <cmath>
 #include <cstdio>
 #include <doctest/doctest.h>
 #include <filesystem>
 
-namespace harrierpass::lab {
+namespace harrierpass::testbed {
 
 const std::string head = R"(
 length = "4s"
@@ -470,4 +470,4 @@
     CHECK(baseline.aborted > 0);
 }
 
-} // namespace harrierpass::lab
+} // namespace harrierpass::testbed
