--- a/src/proxy/client/listener.cpp
+++ b/src/proxy/client/listener.cpp
@@ -7,6 +7,8 @@
 #include <array>
 #include <cerrno>
 #include <cstring>
+#include <memory>
+#include <new>
 #include <sys/socket.h>
 #include <utility>
 
@@ -79,20 +81,19 @@
     if (!connection.socket)
         return on_accept_failed(errno);
     context_.counts.add(counter::client_connections_accepted);
-    context_.upstreams.reserve_for_clients(connections() + 1, context_.routing.now());
     connection_entry *entry = nullptr;
+    std::shared_ptr<client_connection> shared;
     try {
+        context_.upstreams.reserve_for_clients(connections() + 1, context_.routing.now());
         entry = &add_entry(connection);
-        const auto shared = std::make_shared<client_connection>(std::move(connection));
+        shared = std::make_shared<client_connection>(std::move(connection));
         if (start_detached(
                 [this, entry, shared, at = to_text(peer)] { serve(*entry, std::move(*shared), at); }))
             return true;
-        // The client may have sent its request already, so it has a whole answer.
-        write_fallback_response(shared->socket, fallback_response::unavailable, no_thread_write_timeout);
-        close_gracefully(shared->socket, retry_pause, buffer_size);
-    } catch (const std::bad_alloc &) { // closed as for want of a thread
+    } catch (const std::bad_alloc &) { // rejected as for want of a thread
     }
-    reject_without_thread(entry, to_text(peer));
+    // NOLINTNEXTLINE(bugprone-use-after-move): it was moved only where `shared` is there
+    reject_without_thread(shared ? shared->socket : connection.socket, entry, peer);
     return false;
 }
 
@@ -122,10 +123,16 @@
     entries_.remove_if([&](const connection_entry &each) { return &each == &entry; });
 }
 
-// `entry`: null where there was no memory for one. Closes an idle connection, whose thread is then free.
-void listener::reject_without_thread(const connection_entry *entry, const std::string &peer) {
-    context_.logger.warning("connection-end side=client peer=", peer,
-                            " queries=0 open=0 reason=", log_text(close_reason::no_thread));
+// The client may have sent its request already, so it has a whole answer. Closes an idle connection, whose
+// thread and memory are then free. Throws nothing, as memory may have run out.
+void listener::reject_without_thread(tcp_socket &client, const connection_entry *entry, const address &peer) {
+    write_fallback_response(client, fallback_response::unavailable, no_thread_write_timeout);
+    close_gracefully(client, retry_pause, buffer_size);
+    try {
+        context_.logger.warning("connection-end side=client peer=", to_text(peer),
+                                " queries=0 open=0 reason=", log_text(close_reason::no_thread));
+    } catch (const std::bad_alloc &) { // there is no line, but accepting goes on
+    }
     close_one_idle();
     context_.counts.add(counter::client_connections_closed);
     if (entry != nullptr)
--- a/src/proxy/client/listener.hpp
+++ b/src/proxy/client/listener.hpp
@@ -61,7 +61,7 @@
     bool on_accept_failed(int error); // true: another may be accepted at once
     connection_entry &add_entry(client_connection &connection);
     void remove_entry(const connection_entry &entry);
-    void reject_without_thread(const connection_entry *entry, const std::string &peer);
+    void reject_without_thread(tcp_socket &client, const connection_entry *entry, const address &peer);
     void notify_of_stop();
     void wake_all();
     void serve(connection_entry &entry, client_connection connection, const std::string &peer);
--- a/tests/proxy/listener_test.cpp
+++ b/tests/proxy/listener_test.cpp
@@ -1,12 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
-// The listener's answer to connections for which no thread can be started. The calls of the system that fail
-// are replaced in this program; they pass everything on unless a test has armed them.
+// The listener's answer to connections for which there is no thread or no memory. The calls of the system
+// that fail, and the allocation of memory, are replaced in this program; they pass everything on unless a
+// test has armed them.
 #include "support/stand.hpp"
 
 #include <array>
 #include <atomic>
 #include <cerrno>
+#include <cstdlib>
 #include <dlfcn.h>
+#include <new>
 #include <optional>
 #include <pthread.h>
 #include <string_view>
@@ -83,6 +86,55 @@
     }
 };
 
+// Which allocations of the listener's thread fail after it has accepted a connection.
+struct allocation_faults {
+    int first = 0;        // counted from 1; 0: none
+    bool lasting = false; // all later ones fail, too, until the thread accepts again
+};
+
+// Memory runs out for the thread that accepts at one port; for as long as this lives.
+class scoped_memory_shortage {
+public:
+    scoped_memory_shortage(int port, allocation_faults faults) {
+        first_failure = faults.first;
+        failures_last = faults.lasting;
+        armed_port = port;
+    }
+    ~scoped_memory_shortage() { armed_port = 0; }
+    scoped_memory_shortage(const scoped_memory_shortage &) = delete;
+    scoped_memory_shortage &operator=(const scoped_memory_shortage &) = delete;
+
+    // The calling thread accepted at this port; it has got a connection or not.
+    static void on_accept(int port, bool has_connection) {
+        countdown = port == armed_port && has_connection ? first_failure.load() : 0;
+        thread_is_short = false;
+    }
+
+    // Whether this allocation of the calling thread fails.
+    static bool allocation_fails() {
+        if (armed_port == 0)
+            return false;
+        if (countdown > 0 && --countdown == 0) {
+            thread_is_short = failures_last;
+            return true;
+        }
+        return thread_is_short;
+    }
+
+private:
+    static inline std::atomic<int> armed_port = 0, first_failure = 0;
+    static inline std::atomic<bool> failures_last = false;
+    static inline thread_local int countdown = 0;
+    static inline thread_local bool thread_is_short = false;
+};
+
+int local_port(int fd) {
+    sockaddr_in at{};
+    socklen_t size = sizeof at;
+    ::getsockname(fd, reinterpret_cast<sockaddr *>(&at), &size);
+    return ntohs(at.sin_port);
+}
+
 int error_of(send_fault fault) {
     switch (fault) {
     case send_fault::no_memory:
@@ -103,8 +155,45 @@
 } // namespace
 } // namespace harrierpass::proxy
 
+// Not inlined, as the compiler would take their free() for the wrong partner of `new`.
+// NOLINTBEGIN(cppcoreguidelines-no-malloc): these are the functions that others allocate with.
+[[gnu::noinline]] void *operator new(std::size_t size) {
+    void *const memory =
+        harrierpass::proxy::scoped_memory_shortage::allocation_fails() ? nullptr : std::malloc(size);
+    if (memory == nullptr)
+        throw std::bad_alloc();
+    return memory;
+}
+
+[[gnu::noinline]] void *operator new(std::size_t size, const std::nothrow_t & /*tag*/) noexcept {
+    return harrierpass::proxy::scoped_memory_shortage::allocation_fails() ? nullptr : std::malloc(size);
+}
+
+[[gnu::noinline]] void operator delete(void *memory) noexcept {
+    std::free(memory);
+}
+
+[[gnu::noinline]] void operator delete(void *memory, std::size_t /*size*/) noexcept {
+    std::free(memory);
+}
+
+[[gnu::noinline]] void operator delete(void *memory, const std::nothrow_t & /*tag*/) noexcept {
+    std::free(memory);
+}
+// NOLINTEND(cppcoreguidelines-no-malloc)
+
 extern "C" {
 
+int accept4(int fd, sockaddr *peer, socklen_t *size, int flags) {
+    using namespace harrierpass::proxy;
+    static const auto real = next_symbol<int (*)(int, sockaddr *, socklen_t *, int)>("accept4");
+    const int connection = real(fd, peer, size, flags);
+    const int error = errno;
+    scoped_memory_shortage::on_accept(local_port(fd), connection >= 0);
+    errno = error;
+    return connection;
+}
+
 ssize_t sendmsg(int fd, const msghdr *message, int flags) {
     using namespace harrierpass::proxy;
     static const auto real = next_symbol<ssize_t (*)(int, const msghdr *, int)>("sendmsg");
@@ -184,6 +273,26 @@
     CHECK(told(toy_client(fixture.port).ask(asks("read", "1"))) == "HTTP/1.1 200 [value]");
 }
 
+// What is needed for a connection, in order: its entry, its state, its thread's function, a copy of that.
+TEST_CASE("listener: a connection without memory has its whole answer, and accepting goes on") {
+    constexpr int allocations = 4;
+    stand fixture;
+    for (const bool lasting : {false, true})
+        for (int first = 1; first <= allocations; ++first) {
+            CAPTURE(lasting);
+            CAPTURE(first);
+            {
+                const scoped_memory_shortage shortage(fixture.port, {.first = first, .lasting = lasting});
+                toy_client client(fixture.port);
+                client.send(asks("read", "1"));
+                CHECK(client.read() == no_thread_response);
+                CHECK(client.ended());
+            }
+            CHECK(told(toy_client(fixture.port).ask(asks("read", "1"))) == "HTTP/1.1 200 [value]");
+        }
+    CHECK(fixture.executions() == 2 * allocations);
+}
+
 // Operators' tools read these names.
 TEST_CASE("listener: the names of the close reasons in the log") {
     CHECK(log_text(close_reason::reclaimed) == std::string("reclaimed"));
