--- a/src/hosted/tls.cpp
+++ b/src/hosted/tls.cpp
@@ -105,7 +105,7 @@
 
 long stream::read(char *to, std::size_t size) {
     if (!as_)
-        return read_some(socket_, to, size);
+        return as_number(read_some(socket_, to, size));
     std::size_t got = 0;
     ERR_clear_error();
     const int went = SSL_read_ex(tls_, to, size, &got);
--- a/src/net/http_call.cpp
+++ b/src/net/http_call.cpp
@@ -26,12 +26,18 @@
 
 http_reader::state read_available(http_reader &reader, const tcp_socket &connection) {
     const std::span<char> space = reader.free_space();
-    const long received = read_some(connection, space.data(), space.size());
-    if (received > 0)
-        return reader.received(static_cast<std::size_t>(received));
-    if (received == 0)
+    const io_result received = read_some(connection, space.data(), space.size());
+    switch (received.status) {
+    case io_status::progressed:
+        return reader.received(received.size);
+    case io_status::closed:
         return reader.on_peer_closed();
-    return received == read_would_block ? http_reader::state::incomplete : http_reader::state::truncated;
+    case io_status::would_block:
+        return http_reader::state::incomplete;
+    case io_status::failed:
+        break;
+    }
+    return http_reader::state::truncated;
 }
 
 } // namespace harrierpass
--- a/src/net/sockets.cpp
+++ b/src/net/sockets.cpp
@@ -54,6 +54,11 @@
     return error == EAGAIN || error == EWOULDBLOCK || error == EINTR || error == ENOBUFS || error == ENOMEM;
 }
 
+// The result of a call that ended with this errno.
+io_result io_error(int error) {
+    return {.status = is_transient(error) ? io_status::would_block : io_status::failed, .error = error};
+}
+
 } // namespace
 
 void tcp_socket::close() {
@@ -165,7 +170,7 @@
     return connection;
 }
 
-long write_some(const tcp_socket &connection, std::string_view &head, std::string_view &body) {
+io_result write_some(const tcp_socket &connection, std::string_view &head, std::string_view &body) {
     iovec parts[2] = {{const_cast<char *>(head.data()), head.size()},
                       {const_cast<char *>(body.data()), body.size()}};
     msghdr message{};
@@ -173,23 +178,24 @@
     message.msg_iovlen = 2;
     const auto written = ::sendmsg(connection.get(), &message, MSG_NOSIGNAL | MSG_DONTWAIT);
     if (written < 0)
-        return is_transient(errno) ? 0 : -1;
-    const auto of_head = std::min(static_cast<std::size_t>(written), head.size());
+        return io_error(errno);
+    const auto size = static_cast<std::size_t>(written);
+    const std::size_t of_head = std::min(size, head.size());
     head.remove_prefix(of_head);
-    body.remove_prefix(static_cast<std::size_t>(written) - of_head);
-    return written;
+    body.remove_prefix(size - of_head);
+    return {.status = size > 0 ? io_status::progressed : io_status::would_block, .size = size};
 }
 
 bool write_all(const tcp_socket &connection, std::string_view head, std::string_view body, double limit) {
     const double deadline = steady_now() + limit;
     while (!head.empty() || !body.empty()) {
-        const long written = write_some(connection, head, body);
-        if (written < 0)
+        const io_result written = write_some(connection, head, body);
+        if (written.status == io_status::failed)
             return false;
-        if (written > 0)
+        if (written.status == io_status::progressed)
             continue;
         // Without system memory the socket itself has space, so that waiting for it would end at once.
-        const bool no_buffer = errno == ENOBUFS || errno == ENOMEM;
+        const bool no_buffer = written.error == ENOBUFS || written.error == ENOMEM;
         pollfd writable{connection.get(), POLLOUT, 0};
         const double left = deadline - steady_now();
         if (left <= 0)
@@ -202,11 +208,28 @@
     return true;
 }
 
-long read_some(const tcp_socket &connection, char *to, std::size_t size) {
+io_result read_some(const tcp_socket &connection, char *to, std::size_t size) {
     const auto received = ::recv(connection.get(), to, size, MSG_DONTWAIT);
-    if (received >= 0)
-        return received;
-    return is_transient(errno) ? read_would_block : read_broken;
+    if (received < 0)
+        return io_error(errno);
+    if (received == 0)
+        return {.status = io_status::closed};
+    return {.status = io_status::progressed, .size = static_cast<std::size_t>(received)};
+}
+
+long as_number(const io_result &received) {
+    constexpr long failed = -1, would_block = -2;
+    switch (received.status) {
+    case io_status::progressed:
+        return static_cast<long>(received.size);
+    case io_status::closed:
+        return 0;
+    case io_status::would_block:
+        return would_block;
+    case io_status::failed:
+        break;
+    }
+    return failed;
 }
 
 void close_gracefully(tcp_socket &connection, double limit, std::size_t max_dropped) {
@@ -214,11 +237,11 @@
     const double deadline = steady_now() + limit;
     std::array<char, 4096> buffer;
     for (std::size_t dropped = 0; dropped < max_dropped;) {
-        const long received = read_some(connection, buffer.data(), buffer.size());
-        if (received == 0 || received == read_broken)
+        const io_result received = read_some(connection, buffer.data(), buffer.size());
+        if (received.status == io_status::closed || received.status == io_status::failed)
             break;
-        if (received > 0) {
-            dropped += static_cast<std::size_t>(received);
+        if (received.status == io_status::progressed) {
+            dropped += received.size;
             continue;
         }
         pollfd readable{connection.get(), POLLIN, 0};
--- a/src/net/sockets.hpp
+++ b/src/net/sockets.hpp
@@ -3,6 +3,8 @@
 // returns an empty socket, errno tells why. Times are seconds.
 #pragma once
 
+#include <cstddef>
+#include <cstdint>
 #include <netinet/in.h>
 #include <optional>
 #include <string>
@@ -65,18 +67,33 @@
 // Accepts a connection; empty also where none is waiting.
 tcp_socket accept_on(const tcp_socket &listener, address &peer);
 
-// Writes what there is space for now, the head first, and takes it off both. Returns how much; -1: broken.
-long write_some(const tcp_socket &connection, std::string_view &head, std::string_view &body);
+// How one read or write, which does not wait, ended.
+enum class io_status : std::uint8_t {
+    progressed,  // bytes were read or written
+    would_block, // none now: try again later
+    closed,      // a read only: the other side closed, and no more bytes come
+    failed       // the connection is broken
+};
+
+// The result of one read or write.
+struct io_result {
+    io_status status = io_status::failed;
+    std::size_t size = 0; // bytes read or written; 0 unless it progressed
+    int error = 0;        // an errno, where it would block or failed
+};
+
+// Writes what there is space for now, the head first, and takes it off both.
+[[nodiscard]] io_result write_some(const tcp_socket &connection, std::string_view &head,
+                                   std::string_view &body);
 
 // Writes all of both within `limit` s; returns whether it could.
 bool write_all(const tcp_socket &connection, std::string_view head, std::string_view body, double limit);
 
-// What read_some() returns where it reads nothing; 0: the other side closed.
-inline constexpr long read_broken = -1;
-inline constexpr long read_would_block = -2;
+// Reads what is there now, up to `size` bytes.
+[[nodiscard]] io_result read_some(const tcp_socket &connection, char *to, std::size_t size);
 
-// Reads what is there now, up to `size` bytes; returns how much, or one of the above.
-long read_some(const tcp_socket &connection, char *to, std::size_t size);
+// A read's result as one number, for callers that pass it on: bytes; 0: closed; -1: failed; -2: would block.
+[[nodiscard]] long as_number(const io_result &received);
 
 // Closes a connection on which the other side may still read what it was sent: shuts our side down, and reads
 // and drops what comes until the other side closes, for at most `limit` s and `max_dropped` bytes. Closing
--- a/src/proxy/client/request_reader.cpp
+++ b/src/proxy/client/request_reader.cpp
@@ -42,16 +42,20 @@
             return read_failure(close_reason::shutting_down, 503);
         confirm_expectation(message);
         const auto space = message.free_space();
-        const long received = read_some(client_.socket, space.data(), space.size());
-        if (received == 0)
+        const io_result received = read_some(client_.socket, space.data(), space.size());
+        switch (received.status) {
+        case io_status::closed:
             return read_failure(close_reason::client_closed_early);
-        if (received == -1)
+        case io_status::failed:
             return read_failure(close_reason::client_reset);
-        if (received > 0) {
-            state = message.received(static_cast<std::size_t>(received));
+        case io_status::progressed:
+            state = message.received(received.size);
             extend_deadline(message);
-        } else if (!wait_for_bytes()) {
-            return read_failure(close_reason::client_too_slow, 408);
+            break;
+        case io_status::would_block:
+            if (!wait_for_bytes())
+                return read_failure(close_reason::client_too_slow, 408);
+            break;
         }
     }
     return result_of(state);
--- a/src/proxy/operations/control_server.cpp
+++ b/src/proxy/operations/control_server.cpp
@@ -126,16 +126,16 @@
 bool control_server::read_request(client &from) {
     if (from.answered) {
         char discarded[512];
-        const long got = read_some(from.socket, discarded, sizeof discarded);
-        return got > 0 || got == -2;
+        const io_status status = read_some(from.socket, discarded, sizeof discarded).status;
+        return status == io_status::progressed || status == io_status::would_block;
     }
-    const long got =
-        read_some(from.socket, from.reader->free_space().data(), from.reader->free_space().size());
-    if (got == -2)
+    const std::span<char> space = from.reader->free_space();
+    const io_result received = read_some(from.socket, space.data(), space.size());
+    if (received.status == io_status::would_block)
         return true;
-    if (got <= 0)
+    if (received.status != io_status::progressed)
         return false;
-    auto state = from.reader->received(static_cast<std::size_t>(got));
+    auto state = from.reader->received(received.size);
     if (state == http_reader::state::incomplete && from.reader->free_space().empty())
         state = http_reader::state::too_large;
     switch (state) {
--- a/src/proxy/request/upstream_attempt.cpp
+++ b/src/proxy/request/upstream_attempt.cpp
@@ -73,16 +73,17 @@
     first_write first;
     const bool enabled = context_.upstreams.unless_disabled(
         decision_.endpoint, [&] { first = begin_write(head, body, time_left); });
-    if (first.begun) {
+    if (first.status) {
         context_.counts.add(counter::attempts_sent);
         ++request_.attempts;
         ++connection_.attempts;
     }
     if (!enabled)
         return {outcome::discarded_unread, upstream_close_reason::disabled};
-    if (!first.begun)
+    if (!first.status)
         return {outcome::discarded_unread, upstream_close_reason::outdated, was_given_up()};
-    if (first.size < 0 || !write_all(connection_.socket, head, body, first.deadline - context_.routing.now()))
+    if (first.status == io_status::failed ||
+        !write_all(connection_.socket, head, body, first.deadline - context_.routing.now()))
         return {outcome::connect_error, upstream_close_reason::write_failed};
     if (request_.streams_body)
         return body_upload(request_).run(connection_.socket, message_);
@@ -97,9 +98,8 @@
     first.deadline =
         std::min(context_.routing.attempt_write_deadline(request_.handle), request_.client_deadline());
     const double now = context_.routing.now();
-    first.begun = now < first.deadline && request_.guard.may_start_attempt(now, time_left);
-    if (first.begun)
-        first.size = write_some(connection_.socket, head, body);
+    if (now < first.deadline && request_.guard.may_start_attempt(now, time_left))
+        first.status = write_some(connection_.socket, head, body).status;
     return first;
 }
 
--- a/src/proxy/request/upstream_attempt.hpp
+++ b/src/proxy/request/upstream_attempt.hpp
@@ -26,9 +26,8 @@
 private:
     // What the first write came to, which is made only where the decision still holds.
     struct first_write {
-        bool begun = false;
-        long size = 0;       // bytes written; -1: the connection broke
-        double deadline = 0; // Unix time, s, for the last byte
+        std::optional<io_status> status; // empty: it was not made
+        double deadline = 0;             // Unix time, s, for the last byte
     };
 
     attempt_result connect();
--- a/src/proxy/upstream/health_checker.cpp
+++ b/src/proxy/upstream/health_checker.cpp
@@ -53,7 +53,8 @@
     // An operator may have disabled the endpoint while the connection came up.
     const bool enabled = upstreams_.unless_disabled(endpoint, [&] {
         if (connection.socket)
-            write_some(connection.socket, unsent, no_body); // where it breaks, so does the exchange
+            static_cast<void>(
+                write_some(connection.socket, unsent, no_body)); // where it breaks, so does the exchange
     });
     if (!enabled) {
         if (connection.socket)
--- a/src/testbed/links/relay.cpp
+++ b/src/testbed/links/relay.cpp
@@ -222,7 +222,7 @@
     flow &into = of.flows[static_cast<int>(to)];
     std::array<char, piece_size> part;
     while (!into.ended && into.held < most_held) {
-        const long got = read_some(from.socket, part.data(), part.size());
+        const long got = as_number(read_some(from.socket, part.data(), part.size()));
         if (got == -2)
             break;
         if (got < 0)
--- a/src/testbed/loop/channel.cpp
+++ b/src/testbed/loop/channel.cpp
@@ -136,7 +136,8 @@
             reader_ = std::make_unique<http_reader>(std::span(buffer_.get(), buffer_size), side_);
         }
         auto state = http_reader::state::incomplete;
-        const long got = read_some(socket_, reader_->free_space().data(), reader_->free_space().size());
+        const long got =
+            as_number(read_some(socket_, reader_->free_space().data(), reader_->free_space().size()));
         if (got == -2) {
             if (!reader_->has_begun()) {
                 reader_.reset();
--- a/tests/testbed/many_test.cpp
+++ b/tests/testbed/many_test.cpp
@@ -61,7 +61,7 @@
                 in.change(socket.get(), EPOLLIN);
             }
             std::array<char, 4096> part{};
-            for (long got; socket && (got = read_some(socket, part.data(), part.size())) != -2;) {
+            for (long got; socket && (got = as_number(read_some(socket, part.data(), part.size()))) != -2;) {
                 if (got > 0) {
                     heard.append(part.data(), static_cast<std::size_t>(got));
                     continue;
