--- a/src/base/json.cpp
+++ b/src/base/json.cpp
@@ -13,17 +13,21 @@
 // Takes a value off the text from the left; each function stands for a rule of the grammar.
 class json_parser {
 public:
-    explicit json_parser(std::string_view text) : remaining_(text) {}
+    explicit json_parser(std::string_view text) : size_(text.size()), remaining_(text) {}
 
     json document() {
         json result = value(0);
         skip_whitespace();
         if (!remaining_.empty())
-            throw parse_error{"JSON: text after the value"};
+            fail("JSON: text after the value");
         return result;
     }
 
 private:
+    // Throws the error for what is there now.
+    [[noreturn]] void fail(const char *message, parse_fault fault = parse_fault::malformed) const {
+        throw parse_error(fault, {.path = {}, .offset = size_ - remaining_.size()}, message);
+    }
     void skip_whitespace() {
         remaining_.remove_prefix(std::min(remaining_.find_first_not_of(" \t\r\n"), remaining_.size()));
     }
@@ -34,14 +38,14 @@
         remaining_.remove_prefix(1);
         return true;
     }
-    void expect(char one, const char *fault) {
+    void expect(char one, const char *message) {
         if (!take_if(one))
-            throw parse_error{fault};
+            fail(message);
     }
 
     json value(int depth) {
         if (depth > max_depth)
-            throw parse_error{"JSON: nested too deep"};
+            fail("JSON: nested too deep", parse_fault::out_of_range);
         skip_whitespace();
         json result;
         const char first = remaining_.empty() ? '\0' : remaining_.front();
@@ -57,7 +61,7 @@
         } else if (!literal(result, "true", json::kind::boolean) &&
                    !literal(result, "false", json::kind::boolean) &&
                    !literal(result, "null", json::kind::null)) {
-            throw parse_error{"JSON: no value"};
+            fail("JSON: no value");
         }
         return result;
     }
@@ -79,10 +83,10 @@
         do {
             skip_whitespace();
             if (remaining_.empty() || remaining_.front() != '"')
-                throw parse_error{"JSON: no name in an object"};
+                fail("JSON: no name in an object");
             std::string name = string();
             if (result.find(name) != nullptr)
-                throw parse_error{"JSON: a name twice in an object"};
+                fail("JSON: a name twice in an object");
             expect(':', "JSON: no ':' after a name");
             json one = value(depth + 1);
             result.members.push_back({std::move(name), std::move(one)});
@@ -106,7 +110,7 @@
         while (at < remaining_.size() && remaining_[at] >= '0' && remaining_[at] <= '9')
             ++at;
         if (at == from)
-            throw parse_error{"JSON: a number without digits"};
+            fail("JSON: a number without digits");
         return at;
     }
 
@@ -115,7 +119,7 @@
         const std::size_t first = at;
         at = digits(at);
         if (remaining_[first] == '0' && at > first + 1)
-            throw parse_error{"JSON: a number with a leading zero"};
+            fail("JSON: a number with a leading zero");
         if (at < remaining_.size() && remaining_[at] == '.')
             at = digits(at + 1);
         if (at < remaining_.size() && (remaining_[at] == 'e' || remaining_[at] == 'E')) {
@@ -131,18 +135,18 @@
 
     std::uint32_t hex_code_unit() {
         if (remaining_.size() < 4)
-            throw parse_error{"JSON: a cut escape"};
+            fail("JSON: a cut escape");
         std::uint32_t code = 0;
         const auto [end, error] = std::from_chars(remaining_.data(), remaining_.data() + 4, code, 16);
         if (error != std::errc{} || end != remaining_.data() + 4)
-            throw parse_error{"JSON: a bad escape"};
+            fail("JSON: a bad escape");
         remaining_.remove_prefix(4);
         return code;
     }
 
     void escape(std::string &to) {
         if (remaining_.empty())
-            throw parse_error{"JSON: a cut escape"};
+            fail("JSON: a cut escape");
         const char one = remaining_.front();
         remaining_.remove_prefix(1);
         constexpr std::string_view escapes = "\"\\/bfnrt", characters = "\"\\/\b\f\n\r\t";
@@ -151,7 +155,7 @@
             return;
         }
         if (one != 'u')
-            throw parse_error{"JSON: a bad escape"};
+            fail("JSON: a bad escape");
         append_utf8(to, escaped_code_point());
     }
 
@@ -161,11 +165,11 @@
         if (high < 0xD800 || high >= 0xE000)
             return high;
         if (high >= 0xDC00 || !remaining_.starts_with("\\u"))
-            throw parse_error{"JSON: half a pair of escapes"};
+            fail("JSON: half a pair of escapes");
         remaining_.remove_prefix(2);
         const std::uint32_t low = hex_code_unit();
         if (low < 0xDC00 || low > 0xDFFF)
-            throw parse_error{"JSON: half a pair of escapes"};
+            fail("JSON: half a pair of escapes");
         return 0x10000 + ((high - 0xD800) << 10) + (low - 0xDC00);
     }
 
@@ -194,13 +198,13 @@
         std::string result;
         for (;;) {
             if (remaining_.empty())
-                throw parse_error{"JSON: a text without its end"};
+                fail("JSON: a text without its end");
             const char one = remaining_.front();
             remaining_.remove_prefix(1);
             if (one == '"')
                 return result;
             if (static_cast<unsigned char>(one) < 0x20)
-                throw parse_error{"JSON: a control character in a text"};
+                fail("JSON: a control character in a text");
             if (one == '\\')
                 escape(result);
             else
@@ -208,6 +212,7 @@
         }
     }
 
+    std::size_t size_; // of the text, in bytes
     std::string_view remaining_;
 };
 
@@ -228,7 +233,8 @@
     const json *found = find(name);
     return found == nullptr || found->type == kind::null
                ? absent
-               : parse_number<double>(found->text, "JSON: no number");
+               : parse_number<double>(found->text, "JSON: no number",
+                                      {.path = std::string(name), .offset = {}});
 }
 
 json read_json(std::string_view text) {
--- a/src/settings/field_reader.cpp
+++ b/src/settings/field_reader.cpp
@@ -28,7 +28,8 @@
     const string_view value = text(path);
     if (value.empty() || value == "-")
         return absent;
-    return parse_number<double>(value, ("settings." + path + " is no number").c_str());
+    const std::string message = "settings." + path + " is no number";
+    return parse_number<double>(value, message.c_str(), {.path = path, .offset = {}});
 }
 
 double field_reader::seconds(const std::string &path, double absent) const {
@@ -40,7 +41,7 @@
         return absent;
     const double value = number(path, absent);
     if (value > max_count)
-        throw parse_error{"a count is too large"};
+        throw parse_error(parse_fault::out_of_range, {.path = path, .offset = {}}, "a count is too large");
     return value < 0 ? none : static_cast<index>(value);
 }
 
@@ -50,7 +51,7 @@
     if (value < minimum || value > maximum) {
         std::ostringstream message;
         message << "settings." << path << " is " << value << ", not from " << minimum << " to " << maximum;
-        throw parse_error{message.str()};
+        throw parse_error(parse_fault::out_of_range, {.path = path, .offset = {}}, message.str());
     }
     return value;
 }
@@ -70,17 +71,20 @@
 }
 
 void field_reader::reject_choice(const std::string &path, string_view value) {
-    throw parse_error{"settings." + path + " is '" + std::string(value) + "', which is not known"};
+    throw parse_error(parse_fault::unknown_choice, {.path = path, .offset = {}},
+                      "settings." + path + " is '" + std::string(value) + "', which is not known");
 }
 
 field_reader read_fields(string_view text) {
+    const std::size_t size = text.size();
     field_reader fields;
     while (!text.empty()) {
         const auto space = text.find(' ');
         const string_view pair = text.substr(0, space);
         const auto equals = pair.find('=');
         if (equals == string_view::npos)
-            throw parse_error{"a setting without '='"};
+            throw parse_error(parse_fault::malformed, {.path = {}, .offset = size - text.size()},
+                              "a setting without '='");
         fields.set(std::string(pair.substr(0, equals)), pair.substr(equals + 1));
         text = space == string_view::npos ? string_view{} : text.substr(space + 1);
     }
--- a/src/settings/settings_reader.cpp
+++ b/src/settings/settings_reader.cpp
@@ -46,7 +46,8 @@
     for (index i = 0; i < count; ++i)
         classes.push_back(read_request_class(fields, "useCases." + std::to_string(i) + "."));
     if (classes.empty())
-        throw parse_error{"settings without use cases"};
+        throw parse_error(parse_fault::missing, {.path = "useCases", .offset = {}},
+                          "settings without use cases");
     return classes;
 }
 
