--- a/src/proxy/operations/request_metrics.cpp
+++ b/src/proxy/operations/request_metrics.cpp
@@ -22,11 +22,16 @@
     return made += '"';
 }
 
-void append_metric(std::string &to, std::string_view name, std::string_view kind, std::string_view help,
-                   std::uint64_t value) {
-    to.append("# HELP ").append(name).append(" ").append(help).append("\n# TYPE ").append(name);
-    to.append(" ").append(kind).append("\n").append(name).append(" ");
-    to.append(std::to_string(value)).append("\n");
+// A metric without labels, as the page shows it.
+struct metric_row {
+    std::string_view name, kind, help;
+    std::uint64_t value;
+};
+
+void append_metric(std::string &to, const metric_row &row) {
+    to.append("# HELP ").append(row.name).append(" ").append(row.help).append("\n# TYPE ").append(row.name);
+    to.append(" ").append(row.kind).append("\n").append(row.name).append(" ");
+    to.append(std::to_string(row.value)).append("\n");
 }
 
 } // namespace
@@ -47,23 +52,22 @@
                 .append("\"} ")
                 .append(std::to_string(results[i]))
                 .append("\n");
-    append_metric(page, "app_sends_total", "counter", "Executions written whole to servers.",
-                  counts.attempts_sent);
-    append_metric(page, "app_current", "gauge", "Queries taken and not ended.", counts.active_requests);
-    append_metric(page, "app_cluster_size", "gauge", "Servers in the list.", listed);
-    append_metric(page, "app_cluster_unhealthy", "gauge", "Listed servers that are avoided counts.", avoided);
-    append_metric(page, "app_subset_size", "gauge", "Listed servers that this proxy uses counts.",
-                  subset.selected_endpoints);
-    append_metric(page, "app_subset_level", "gauge", "It prefers one of 2^level parts of them.",
-                  subset.level);
-    append_metric(page, "app_subset_joined_total", "counter", "Servers that came into use.",
-                  subset.endpoints_added);
-    append_metric(page, "app_subset_left_total", "counter", "Servers that went out of use.",
-                  subset.endpoints_removed);
-    append_metric(page, "app_subset_short_total", "counter", "Times that too few of them were usable.",
-                  subset.widened_for_availability);
-    append_metric(page, "app_subset_pressed_total", "counter", "Times that most queries found no room.",
-                  subset.widened_for_capacity);
+    const metric_row rows[] = {
+        {"app_sends_total", "counter", "Executions written whole to servers.", counts.attempts_sent},
+        {"app_current", "gauge", "Queries taken and not ended.", counts.active_requests},
+        {"app_cluster_size", "gauge", "Servers in the list.", listed},
+        {"app_cluster_unhealthy", "gauge", "Listed servers that are avoided counts.", avoided},
+        {"app_subset_size", "gauge", "Listed servers that this proxy uses counts.",
+         subset.selected_endpoints},
+        {"app_subset_level", "gauge", "It prefers one of 2^level parts of them.", subset.level},
+        {"app_subset_joined_total", "counter", "Servers that came into use.", subset.endpoints_added},
+        {"app_subset_left_total", "counter", "Servers that went out of use.", subset.endpoints_removed},
+        {"app_subset_short_total", "counter", "Times that too few of them were usable.",
+         subset.widened_for_availability},
+        {"app_subset_pressed_total", "counter", "Times that most queries found no room.",
+         subset.widened_for_capacity}};
+    for (const metric_row &row : rows)
+        append_metric(page, row);
     return page;
 }
 
--- a/tests/proxy/proxy_test.cpp
+++ b/tests/proxy/proxy_test.cpp
@@ -434,15 +434,22 @@
     sigaction(SIGUSR2, &before, nullptr);
 }
 
-// Idle connections to endpoints have the descriptors that clients leave, and no more.
-TEST_CASE("servers' connections have what clients leave") {
-    toy_server server([](const std::string &) { return ok("value"); });
+// A pool of connections to one server, which is endpoint 0.
+struct pool_fixture {
+    pool_fixture() { servers.set_endpoint(0, "s0", server.at(), 0, 0); }
+
+    toy_server server{[](const std::string &) { return ok("value"); }};
     std::ostringstream lines;
     counters counted;
-    log to(lines, log_level::info);
-    upstream_pool servers(0.25, 5, 6, counted, to);
-    servers.set_endpoint(0, "s0", server.at(), 0, 0);
-    servers.set_endpoint(1, "s1", server.at(), 0, 0);
+    log to{lines, log_level::info};
+    upstream_pool servers{0.25, 5, 6, counted, to};
+};
+
+// Idle connections to endpoints have the descriptors that clients leave, and no more.
+TEST_CASE("servers' connections have what clients leave") {
+    pool_fixture with;
+    upstream_pool &servers = with.servers;
+    servers.set_endpoint(1, "s1", with.server.at(), 0, 0);
     std::list<upstream_connection> in_use;
     for (index i = 0; i < 4; ++i)
         in_use.push_back(servers.acquire(0, 1));
@@ -451,22 +458,19 @@
     servers.reserve_for_clients(1, 1);
     auto other = servers.acquire(1, 1); // the sixth descriptor
     CHECK(other.socket);
-    CHECK(lines.str().empty());
+    CHECK(with.lines.str().empty());
     servers.reserve_for_clients(2, 1);
-    CHECK(lines.str().find("server=s0 executions=0 open=0 rested=0 reason=reclaimed") != std::string::npos);
+    CHECK(with.lines.str().find("server=s0 executions=0 open=0 rested=0 reason=reclaimed") !=
+          std::string::npos);
     CHECK(servers.acquire(0, 1).socket); // a kept one
-    CHECK(counted.of(counter::upstream_connects) == 5);
+    CHECK(with.counted.of(counter::upstream_connects) == 5);
 }
 
 // An endpoint may close its connections right after a response: those that have been idle longer are used
 // first.
 TEST_CASE("a server's connection rests before its next use") {
-    toy_server server([](const std::string &) { return ok("value"); });
-    std::ostringstream lines;
-    counters counted;
-    log to(lines, log_level::info);
-    upstream_pool servers(0.25, 5, 6, counted, to);
-    servers.set_endpoint(0, "s0", server.at(), 0, 0);
+    pool_fixture with;
+    upstream_pool &servers = with.servers;
     auto first = servers.acquire(0, 1), second = servers.acquire(0, 1);
     const int older = first.socket.get(), latest = second.socket.get();
     servers.release(std::move(first), 1);
@@ -476,7 +480,7 @@
     servers.release(std::move(used), 1.102);
     CHECK(servers.acquire(0, 1.2).socket.get() == older); // both have rested: the latest
     CHECK(servers.acquire(0, 1.2).socket.get() == latest);
-    CHECK(counted.of(counter::upstream_connects) == 2);
+    CHECK(with.counted.of(counter::upstream_connects) == 2);
 }
 
 // Other requests' connections stay open: where a process died they show it themselves.
