--- a/src/base/counters.hpp
+++ b/src/base/counters.hpp
@@ -36,7 +36,7 @@
     snapshot_polls,
     watch_polls,
     polls_rejected,
-    snapshots_doubted,
+    snapshots_implausible,
     snapshots_written,
     snapshots_failed,
     configurations_applied,
--- a/src/discovery/poll_intervals.hpp
+++ b/src/discovery/poll_intervals.hpp
@@ -10,7 +10,7 @@
 
 // Who answers polls.
 enum class list_service_kind : std::uint8_t {
-    agent, // one beside each proxy, free to ask: its polls are neither spread nor are its lists doubted
+    agent, // one beside each proxy, free to ask: polls are not spread, and every list is plausible
     shared // one service for all proxies
 };
 
--- a/src/discovery/poll_schedule.cpp
+++ b/src/discovery/poll_schedule.cpp
@@ -86,9 +86,9 @@
 bool poll_schedule::on_update(double now, const snapshot_facts &facts) {
     reset_delays();
     const bool is_trusted = is_agent() || state_ == poll_state::no_endpoints;
-    const snapshot_doubt previous_doubt =
-        std::exchange(doubt_, is_trusted ? snapshot_doubt::none : assess(facts));
-    if (doubt_ != snapshot_doubt::none && !confirm(previous_doubt, facts)) {
+    const implausibility previous =
+        std::exchange(implausibility_, is_trusted ? implausibility::none : assess(facts));
+    if (implausibility_ != implausibility::none && !confirm(previous, facts)) {
         state_ = poll_state::awaiting_confirmation;
         schedule_poll(now, intervals_.initial_poll_window * random_fraction());
         return false;
@@ -100,16 +100,16 @@
     return true;
 }
 
-bool poll_schedule::confirm(snapshot_doubt previous_doubt, const snapshot_facts &facts) {
+bool poll_schedule::confirm(implausibility previous, const snapshot_facts &facts) {
     const bool is_repeated =
-        previous_doubt == doubt_ && facts.is_snapshot && facts.revision >= doubted_revision_;
+        previous == implausibility_ && facts.is_snapshot && facts.revision >= implausible_revision_;
     // Only snapshots confirm: a watch's response with an older revision means that a snapshot is due.
     if (!facts.is_snapshot)
         confirmations_ = 0;
     else
         confirmations_ = is_repeated ? confirmations_ + 1 : 1;
-    doubted_revision_ = facts.revision;
-    return confirmations_ >= confirmations_needed(doubt_);
+    implausible_revision_ = facts.revision;
+    return confirmations_ >= confirmations_needed(implausibility_);
 }
 
 void poll_schedule::on_rejected(double now, double retry_after) {
@@ -145,7 +145,7 @@
     reset_delays();
     state_ = poll_state::no_endpoints;
     confirmations_ = 0;
-    doubt_ = snapshot_doubt::none;
+    implausibility_ = implausibility::none;
     next_poll_at_ = now;
 }
 
--- a/src/discovery/poll_schedule.hpp
+++ b/src/discovery/poll_schedule.hpp
@@ -3,28 +3,24 @@
 // clock: the owner waits until next_poll_at(), makes the poll that start_poll() returns, and reports how it
 // ended. Times are seconds. One poll is in flight at a time. Owned by the discovery client.
 //
-// state                 event                  next                   effect
-// no_endpoints          start                  no_endpoints           snapshot, at random in the first window
-// cached_endpoints      start                  cached_endpoints       watch from the cached revision, at
-// random
-//                                                                     in the first window; the proxy serves
-// any                   plausible response     current                used; the next watch after a short
-// delay any                   response in doubt      awaiting_confirmation  set aside; snapshot, at random in
-// the
-//                                                                     first window
-// awaiting_confirmation enough equal responses current                used
-// awaiting_confirmation another response       by that response       the doubt is dropped
-// any                   rejected               unchanged              not before Retry-After, then at random
-// in
-//                                                                     a window that grows with each rejection
-// any                   failed                 unchanged              at random in a backoff that doubles up
-// to
-//                                                                     a limit; with a list, a watch
-// any                   another service        no_endpoints           snapshot at once; nothing is in doubt
-//                                                                     until it has come
+// Transitions, as "state, event -> next state: effect":
+// - no_endpoints, start -> no_endpoints: a snapshot in the first window
+// - cached_endpoints, start -> cached_endpoints: a watch in the first window
+// - any, plausible response -> current: it is used; the next watch after a short delay
+// - any, implausible response -> awaiting_confirmation: it is set aside; a snapshot in the first window
+// - awaiting_confirmation, enough equal responses -> current: the latest is used
+// - awaiting_confirmation, another response -> by that response: what was set aside is dropped
+// - any, rejected -> unchanged: polled again after Retry-After, within the window after rejections
+// - any, failed -> unchanged: polled again after a backoff, by a watch where there is a list
+// - any, another service -> no_endpoints: a snapshot at once
 //
-// With an agent beside the proxy nothing is spread or doubted: the first poll is a snapshot and made at once,
-// the next watch follows each response, and after a failure the router says when to poll (request_poll()).
+// A watch after a start begins at the cached revision, and the proxy serves by the cached list meanwhile.
+// Polls are spread at random over their window. The window after rejections grows with each; the backoff
+// doubles up to a limit. Nothing of another service is implausible until its first snapshot has come.
+//
+// With an agent beside the proxy nothing is spread or implausible: the first poll is a snapshot and made at
+// once, the next watch follows each response, and after a failure the router says when to poll
+// (request_poll()).
 #pragma once
 
 #include "discovery/poll_intervals.hpp"
@@ -71,8 +67,8 @@
     void on_settings_changed(double now, const poll_settings &settings);
 
     poll_state state() const { return state_; }
-    // The doubt that the latest response raised.
-    snapshot_doubt latest_doubt() const { return doubt_; }
+    // Why the latest response was implausible, if it was.
+    implausibility latest_implausibility() const { return implausibility_; }
     // The revision of the list in use.
     std::uint64_t revision() const { return revision_; }
     const poll_intervals &intervals() const { return intervals_; }
@@ -86,8 +82,8 @@
     double available_tokens(double now) const;
     // Takes the tokens that have come by now into account.
     void refill_tokens(double now);
-    // Counts equal responses in doubt; returns whether this one is confirmed.
-    bool confirm(snapshot_doubt previous_doubt, const snapshot_facts &facts);
+    // Counts equal implausible responses; returns whether this one is confirmed.
+    bool confirm(implausibility previous, const snapshot_facts &facts);
     // Back to the first backoff and the first window of rejected polls.
     void reset_delays();
     bool is_agent() const { return service_kind_ == list_service_kind::agent; }
@@ -96,9 +92,9 @@
     poll_intervals intervals_;
     std::minstd_rand random_;
     poll_state state_ = poll_state::no_endpoints;
-    snapshot_doubt doubt_ = snapshot_doubt::none;
-    index confirmations_ = 0; // equal responses in doubt, in a row
-    std::uint64_t revision_ = 0, doubted_revision_ = 0;
+    implausibility implausibility_ = implausibility::none;
+    index confirmations_ = 0; // equal implausible responses in a row
+    std::uint64_t revision_ = 0, implausible_revision_ = 0;
     double next_poll_at_ = 0;
     double backoff_ = 0, rejected_window_ = 0;  // s
     double tokens_ = 0, tokens_updated_at_ = 0; // the poll budget, a token bucket
--- a/src/discovery/snapshot_plausibility.hpp
+++ b/src/discovery/snapshot_plausibility.hpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
-// Whether an endpoint list is plausible beside the one known before it. A list in doubt is set aside until
-// the discovery service has repeated it often enough. Malformed lists are rejected before they get here. Pure
-// functions.
+// Whether an endpoint list is plausible beside the one known before it. An implausible list is set aside
+// until the discovery service has repeated it often enough. Malformed lists are rejected before they get
+// here. Pure functions.
 //
 // Invariant: a single response never empties the ring. A snapshot that is empty, leaves out most of the known
-// endpoints or all of them, and any response with an older revision, is in doubt.
+// endpoints or all of them, and any response with an older revision, is implausible.
 #pragma once
 
 #include "router/types.hpp"
@@ -14,8 +14,8 @@
 
 namespace harrierpass::discovery {
 
-// Why a list is in doubt.
-enum class snapshot_doubt : std::uint8_t { none, empty, mostly_missing, unrelated, outdated };
+// Why a list is implausible; none: it is plausible.
+enum class implausibility : std::uint8_t { none, empty, mostly_missing, unrelated, outdated };
 
 // A response beside what was known before it.
 struct snapshot_facts {
@@ -26,13 +26,13 @@
     std::size_t common_endpoints = 0; // known ones that the response names in any state
 };
 
-// The doubt that a response raises.
-snapshot_doubt assess(const snapshot_facts &facts);
+// Why a response is implausible, if it is.
+implausibility assess(const snapshot_facts &facts);
 
-// How many equal responses in a row it takes to believe one in this doubt; 1 without a doubt.
-index confirmations_needed(snapshot_doubt doubt);
+// How many equal responses in a row it takes to believe one; 1 where it is plausible.
+index confirmations_needed(implausibility kind);
 
 // The name as in logs.
-const char *name_of(snapshot_doubt doubt);
+const char *name_of(implausibility kind);
 
 } // namespace harrierpass::discovery
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -340,7 +340,7 @@
             return state::complete;
         }
     }
-    close_gap();
+    compact_body();
     return wait_for_more();
 }
 
@@ -356,7 +356,7 @@
     return state::complete;
 }
 
-void http_reader::close_gap() {
+void http_reader::compact_body() {
     const std::size_t body_end = body_start_ + body_size_, unread = filled_ - consumed_;
     std::memmove(buffer_.data() + body_end, buffer_.data() + consumed_, unread);
     consumed_ = body_end;
--- a/src/net/http.hpp
+++ b/src/net/http.hpp
@@ -113,7 +113,7 @@
     // Parses a chunk's size line; complete stands for a valid one.
     state begin_chunk(std::string_view line);
     // Moves the unread bytes up to the body's end, so that the space after them is the body's.
-    void close_gap();
+    void compact_body();
     // The state where bytes are missing: incomplete, or what a full buffer means.
     state wait_for_more() const;
     // Whether `size` more bytes of the body are too many.
--- a/src/proxy/client/response_writer.cpp
+++ b/src/proxy/client/response_writer.cpp
@@ -110,14 +110,14 @@
                                                      string_view framing_field, string_view body) {
     request_.keep_connection = request_.may_keep_connection();
     if (!request_.guard.may_respond())
-        return close_reason::response_not_taken;
+        return close_reason::response_not_delivered;
     request_.response_status = status;
     request_.id_lease = {}; // the client may use the id again as soon as it has the response
     const std::string head = response_head(status, fields, framing_field, request_.keep_connection);
     if (!write_all(request_.client.socket, head, request_.head_only ? string_view{} : body,
                    response_write_limit)) {
         request_.context.counts.add(counter::truncated_responses);
-        return close_reason::response_not_taken;
+        return close_reason::response_not_delivered;
     }
     if (request_.keep_connection)
         return std::nullopt;
@@ -183,7 +183,7 @@
 
 close_decision response_writer::decide_after_forwarding() {
     if (request_.client_has_left())
-        return close_reason::response_not_taken;
+        return close_reason::response_not_delivered;
     if (request_.keep_connection)
         return std::nullopt;
     return close_after_response();
--- a/src/proxy/discovery/discovery_client.cpp
+++ b/src/proxy/discovery/discovery_client.cpp
@@ -278,11 +278,11 @@
 
 // The list in force stays, but the drains that the new one names are obeyed.
 void discovery_client::on_implausible_list(const endpoint_list &list) {
-    counters_.add(counter::snapshots_doubted);
-    log_.warning("list-doubted as=", discovery::name_of(schedule_->latest_doubt()),
+    counters_.add(counter::snapshots_implausible);
+    log_.warning("list-doubted as=", discovery::name_of(schedule_->latest_implausibility()),
                  " revision=", list.revision, " known=", schedule_->revision(),
                  " servers=", list.items.size());
-    if (schedule_->latest_doubt() != discovery::snapshot_doubt::mostly_missing)
+    if (schedule_->latest_implausibility() != discovery::implausibility::mostly_missing)
         return;
     endpoint_list drains = list;
     std::erase_if(drains.items, [](const auto &each) { return each.info.state != endpoint_state::draining; });
--- a/src/proxy/request/attempt_result.hpp
+++ b/src/proxy/request/attempt_result.hpp
@@ -12,7 +12,7 @@
 struct attempt_result {
     outcome result = outcome::discarded_unread;
     std::optional<upstream_close_reason> reason; // why its connection ends; empty: the attempt was answered
-    bool given_up = false;           // the request had its final response before the attempt ended
+    bool request_ended = false;      // the request had its final response before the attempt ended
     bool response_forwarded = false; // the response, or its beginning, was forwarded to the client
     bool response_truncated = false; // ... and its rest is missing, by no fault of the endpoint
 };
--- a/src/proxy/request/body_upload.cpp
+++ b/src/proxy/request/body_upload.cpp
@@ -26,7 +26,7 @@
     case relay_result::sink_broken:
         return {outcome::connect_error, upstream_close_reason::write_failed};
     case relay_result::cancelled:
-        return {outcome::canceled, upstream_close_reason::canceled, given_up_};
+        return {outcome::canceled, upstream_close_reason::canceled, request_ended_};
     case relay_result::source_truncated:
     case relay_result::source_slow:
     case relay_result::source_malformed:
@@ -38,8 +38,8 @@
 bool body_upload::is_cancelled() {
     auto &routing = request_.context.routing;
     const routing_decision decision = routing.next_decision(request_.handle);
-    given_up_ = decision.kind_of != routing_decision::kind::attempt_running;
-    return decision.cancel || given_up_ || routing.now() >= request_.stop_deadline();
+    request_ended_ = decision.kind_of != routing_decision::kind::attempt_running;
+    return decision.cancel || request_ended_ || routing.now() >= request_.stop_deadline();
 }
 
 // The client's own waiting time starts with the last byte of its body.
--- a/src/proxy/request/body_upload.hpp
+++ b/src/proxy/request/body_upload.hpp
@@ -24,7 +24,7 @@
     void on_complete();
 
     active_request &request_;
-    bool given_up_ = false; // the request had its final response while the body came
+    bool request_ended_ = false; // the request had its final response while the body came
 };
 
 } // namespace harrierpass::proxy
--- a/src/proxy/request/request_session.cpp
+++ b/src/proxy/request/request_session.cpp
@@ -299,7 +299,7 @@
 }
 
 void request_session::report(const attempt_result &result, const http_reader &response) {
-    if (result.given_up)
+    if (result.request_ended)
         context_.routing.request_finished(request_.handle, result.result);
     else
         context_.routing.attempt_finished(request_.handle, result.result, is_cache_miss(response.head()));
@@ -312,7 +312,7 @@
     request_.count_result(whole ? request_result::succeeded : request_result::failed);
     context_.counts.add(whole ? counter::completed : counter::aborted);
     if (!whole)
-        return close_reason::response_not_taken;
+        return close_reason::response_not_delivered;
     return writer_.decide_after_forwarding();
 }
 
--- a/src/proxy/request/upstream_attempt.cpp
+++ b/src/proxy/request/upstream_attempt.cpp
@@ -81,7 +81,7 @@
     if (!enabled)
         return {outcome::discarded_unread, upstream_close_reason::disabled};
     if (!first.status)
-        return {outcome::discarded_unread, upstream_close_reason::outdated, was_given_up()};
+        return {outcome::discarded_unread, upstream_close_reason::outdated, request_has_ended()};
     if (first.status == io_status::failed ||
         !write_all(connection_.socket, head, body, first.deadline - context_.routing.now()))
         return {outcome::connect_error, upstream_close_reason::write_failed};
@@ -127,11 +127,11 @@
 // Empty: the wait for the response goes on.
 std::optional<attempt_result> upstream_attempt::ended_while_waiting() {
     const routing_decision decision = context_.routing.next_decision(request_.handle);
-    const bool given_up = decision.kind_of != routing_decision::kind::attempt_running;
+    const bool request_ended = decision.kind_of != routing_decision::kind::attempt_running;
     if (decision.cancel)
-        return attempt_result{outcome::canceled, upstream_close_reason::canceled, given_up};
-    if (given_up || request_.client_deadline() <= context_.routing.now())
-        return attempt_result{outcome::timed_out, upstream_close_reason::timed_out, given_up};
+        return attempt_result{outcome::canceled, upstream_close_reason::canceled, request_ended};
+    if (request_ended || request_.client_deadline() <= context_.routing.now())
+        return attempt_result{outcome::timed_out, upstream_close_reason::timed_out, request_ended};
     if (time_until_stalled() > 0)
         return std::nullopt;
     context_.counts.add(counter::attempts_malformed);
@@ -218,7 +218,7 @@
     return result;
 }
 
-bool upstream_attempt::was_given_up() {
+bool upstream_attempt::request_has_ended() {
     return context_.routing.next_decision(request_.handle).kind_of != routing_decision::kind::attempt_running;
 }
 
--- a/src/proxy/request/upstream_attempt.hpp
+++ b/src/proxy/request/upstream_attempt.hpp
@@ -39,7 +39,7 @@
     attempt_result result_of(http_reader::state state);
     bool is_long(http_reader::state state) const;
     attempt_result forward_response();
-    bool was_given_up();
+    bool request_has_ended();
     double time_until_stalled() const;
     void log_end(const attempt_result &result) const;
     void end_connection(const attempt_result &result);
--- a/src/proxy/service.cpp
+++ b/src/proxy/service.cpp
@@ -37,7 +37,7 @@
                                                                              metrics_,
                                                                              [this] { return discovery_.ready(); }} {
     mallopt(M_ARENA_MAX, max_allocator_arenas);
-    connect_parts();
+    connect_components();
     const auto listen_address = parse_address(configuration_.listen);
     if (!listen_address)
         throw parse_error{"the address to listen on is not usable"};
@@ -60,7 +60,7 @@
     end(0);
 }
 
-void service::connect_parts() {
+void service::connect_components() {
     dispatcher_.on_check_health = [this](index endpoint) { health_checker_.start(endpoint); };
     dispatcher_.on_watch_endpoints = [this] { discovery_.poll_now(); };
     discovery_.on_configuration_applied = [this](const configuration &applied) {
--- a/src/proxy/service.hpp
+++ b/src/proxy/service.hpp
@@ -53,7 +53,7 @@
 
 private:
     bool over() const { return over_.load(); }
-    void connect_parts();
+    void connect_components();
     tcp_socket take_over(const address &listen_address);
     tcp_socket listen(const address &listen_address);
     void start_threads(bool inherited);
--- a/tests/discovery/poll_schedule_test.cpp
+++ b/tests/discovery/poll_schedule_test.cpp
@@ -192,22 +192,22 @@
 }
 
 TEST_CASE("no single answer empties the ring, and what is said again is believed") {
-    struct doubt_case {
+    struct implausible_case {
         snapshot_facts facts;
-        snapshot_doubt doubt;
+        implausibility kind;
         index needed;
     };
-    const doubt_case cases[] = {{snapshot(42, 41, 50, 0, 0), snapshot_doubt::empty, 3},
-                                {snapshot(42, 41, 50, 20, 20), snapshot_doubt::mostly_missing, 2},
-                                {snapshot(42, 41, 50, 50, 0), snapshot_doubt::unrelated, 2},
-                                {snapshot(40, 41, 50, 50, 50), snapshot_doubt::outdated, 2}};
+    const implausible_case cases[] = {{snapshot(42, 41, 50, 0, 0), implausibility::empty, 3},
+                                      {snapshot(42, 41, 50, 20, 20), implausibility::mostly_missing, 2},
+                                      {snapshot(42, 41, 50, 50, 0), implausibility::unrelated, 2},
+                                      {snapshot(40, 41, 50, 50, 50), implausibility::outdated, 2}};
     for (const auto &each : cases) {
         poll_schedule schedule(fleet_settings(300), 2, 0, 41);
         double now = schedule.next_poll_at();
         for (index i = 1; i <= each.needed; ++i) {
             schedule.start_poll(now);
             CHECK(schedule.on_update(now, each.facts) == (i == each.needed));
-            CHECK(schedule.latest_doubt() == each.doubt);
+            CHECK(schedule.latest_implausibility() == each.kind);
             CHECK((schedule.state() == poll_state::awaiting_confirmation) == (i < each.needed));
             if (i < each.needed) {
                 CHECK(schedule.revision() == 41);
--- a/tests/proxy/response_writer_test.cpp
+++ b/tests/proxy/response_writer_test.cpp
@@ -92,7 +92,7 @@
 TEST_CASE("reasons in the log") {
     CHECK(std::string(log_text(close_reason::client_closed_early)) == "client_cut");
     CHECK(std::string(log_text(close_reason::closed_after_response)) == "answered_last");
-    CHECK(std::string(log_text(close_reason::response_not_taken)) == "answer_cut");
+    CHECK(std::string(log_text(close_reason::response_not_delivered)) == "answer_cut");
     CHECK(std::string(log_text(close_reason::internal_error)) == "failed");
     CHECK(std::string(log_text(rejection_reason::rejected_by_router)) == "router_rejected");
     CHECK(std::string(log_text(rejection_reason::too_many_connections)) == "too_many_connections");
