--- a/src/discovery/poll_schedule.hpp
+++ b/src/discovery/poll_schedule.hpp
@@ -44,6 +44,7 @@
     double timeout = 0;                          // s until it counts as failed, watch_timeout included
 };
 
+// The schedule of one proxy. Not thread-safe: the polling thread owns it.
 class poll_schedule {
 public:
     // `cached_revision`: of the list that the proxy starts with, if it has one.
@@ -66,11 +67,13 @@
     // Another deployment: the schedule starts over.
     void on_settings_changed(double now, const poll_settings &settings);
 
+    // What the proxy has of the endpoint list.
     poll_state state() const { return state_; }
     // Why the latest response was implausible, if it was.
     implausibility latest_implausibility() const { return implausibility_; }
     // The revision of the list in use.
     std::uint64_t revision() const { return revision_; }
+    // The intervals of the present settings.
     const poll_intervals &intervals() const { return intervals_; }
 
 private:
@@ -86,6 +89,7 @@
     bool confirm(implausibility previous, const snapshot_facts &facts);
     // Back to the first backoff and the first window of rejected polls.
     void reset_delays();
+    // Whether polls go to an agent beside the proxy.
     bool is_agent() const { return service_kind_ == list_service_kind::agent; }
 
     list_service_kind service_kind_;
--- a/src/net/buffer_pool.hpp
+++ b/src/net/buffer_pool.hpp
@@ -21,6 +21,7 @@
     // Returns a buffer to its pool.
     struct buffer_deleter {
         buffer_pool *to;
+        // Called by the handle at its end; the pool has to exist still.
         void operator()(char *buffer) const { to->release(buffer); }
     };
     // A buffer in use, of buffer_size bytes.
--- a/src/net/http.hpp
+++ b/src/net/http.hpp
@@ -75,6 +75,7 @@
     const http_head &head() const { return head_; }
     // Whether any byte of the message was received.
     bool has_begun() const { return step_ != parse_step::head || filled_ > consumed_; }
+    // Whether the head is complete.
     bool has_head() const { return step_ != parse_step::head; }
     // The body's bytes that are there.
     std::string_view body() const { return {buffer_.data() + body_start_, body_size_}; }
@@ -99,6 +100,7 @@
     bool can_start_message(std::string_view text) const;
     // Parses lines that each end with CRLF; false where they are malformed.
     bool parse_head(std::string_view text);
+    // Each parses a line without its CRLF, or a version, into head_; false where it is malformed.
     bool parse_field(std::string_view line);
     bool parse_version(std::string_view text);
     bool parse_status_line(std::string_view line);
@@ -107,6 +109,7 @@
     state begin_body();
     // Takes what there is of a body or a chunk, up to `remaining_`; returns its size.
     std::size_t take_remaining();
+    // Each reads what is there of a body of its framing, and returns how far the message is then.
     state read_sized_body();
     state read_body_to_close();
     state read_chunks();
--- a/src/net/sockets.hpp
+++ b/src/net/sockets.hpp
@@ -17,10 +17,13 @@
 class tcp_socket {
 public:
     tcp_socket() = default;
+    // Owns the descriptor from now on; -1: none.
     explicit tcp_socket(int fd) : fd_(fd) {}
     tcp_socket(const tcp_socket &) = delete;
     tcp_socket &operator=(const tcp_socket &) = delete;
+    // A socket that was moved from owns none.
     tcp_socket(tcp_socket &&that) noexcept : fd_(std::exchange(that.fd_, -1)) {}
+    // Exchanges the descriptors: `that` closes the one that was owned here.
     tcp_socket &operator=(tcp_socket &&that) noexcept {
         std::swap(fd_, that.fd_);
         return *this;
@@ -30,6 +33,7 @@
     void close();
     // The descriptor; -1 where there is none.
     int get() const { return fd_; }
+    // Whether there is a descriptor.
     explicit operator bool() const { return fd_ >= 0; }
 
 private:
--- a/src/net/threads.hpp
+++ b/src/net/threads.hpp
@@ -35,6 +35,7 @@
 public:
     // Throws std::system_error where no thread can be had.
     explicit joined_thread(const std::function<void()> &body);
+    // Waits until the thread has ended.
     ~joined_thread();
     joined_thread(const joined_thread &) = delete;
     joined_thread &operator=(const joined_thread &) = delete;
--- a/src/proxy/client/body_relay.hpp
+++ b/src/proxy/client/body_relay.hpp
@@ -33,6 +33,7 @@
     bool watch_sink = false; // whether bytes from the sink, as of an early response, end the relay
 };
 
+// How a relay ended.
 enum class relay_result : std::uint8_t {
     complete,
     source_truncated, // the source ended before the body did
--- a/src/proxy/client/close_reason.hpp
+++ b/src/proxy/client/close_reason.hpp
@@ -9,6 +9,7 @@
 
 namespace harrierpass::proxy {
 
+// In the order of the texts below.
 enum class close_reason : std::uint8_t {
     client_closed_early,    // the client closed it in the middle of a request
     client_reset,           // the client broke it while a request was read
@@ -33,6 +34,7 @@
     "draining",   "answered_last", "answer_cut",  "no_memory",     "failed",
     "reclaimed",  "silent",        "idle",        "client_closed", "no_thread"};
 
+// The text in the log.
 constexpr const char *log_text(close_reason reason) {
     return close_reason_texts[static_cast<std::size_t>(reason)];
 }
--- a/src/proxy/client/response_writer.hpp
+++ b/src/proxy/client/response_writer.hpp
@@ -47,6 +47,7 @@
 // the response is written, so that whoever has the response finds it counted.
 class response_writer {
 public:
+    // `request` has to outlive it.
     explicit response_writer(active_request &request) : request_(request) {}
 
     // A response that is no request's result, as for a health check.
@@ -76,10 +77,14 @@
     bool respond_to_internal_error();
 
 private:
+    // Writes a response with this framing field, unless that would break an invariant.
     close_decision respond_with_framing(int status, std::string_view fields, std::string_view framing_field,
                                         std::string_view body);
+    // Sets how the connection closes after a response that was written.
     close_reason close_after_response();
+    // The head of a response that is forwarded as it comes.
     std::string streamed_head(const http_reader &response, framing body_framing) const;
+    // What the end of the relay means for request and connection.
     forward_result finish_forwarding(relay_result relayed, framing body_framing);
 
     active_request &request_;
--- a/src/proxy/discovery/operator_overrides.hpp
+++ b/src/proxy/discovery/operator_overrides.hpp
@@ -14,6 +14,7 @@
 
 namespace harrierpass::proxy {
 
+// Copyable, so that another process of this proxy can be told of it.
 class operator_overrides {
 public:
     // Disables an endpoint, known or not. False: it was disabled already.
@@ -25,6 +26,7 @@
     // Another process of this proxy enabled the endpoint at that time.
     void record_enabled(const std::string &id, double enabled_at) { enabled_at_[id] = enabled_at; }
 
+    // Whether the endpoint is disabled now.
     [[nodiscard]] bool is_disabled(const std::string &id) const { return disabled_.contains(id); }
 
     // The entry of the list as the router is to see it.
--- a/src/proxy/operations/control_server.hpp
+++ b/src/proxy/operations/control_server.hpp
@@ -30,7 +30,9 @@
 public:
     static constexpr std::size_t max_connections = 32; // at a time; a further one replaces the oldest
 
+    // Starts the thread. The handlers are called by it.
     control_server(tcp_socket listening, control_handlers handlers);
+    // Ends the thread; requests that were not answered are dropped.
     ~control_server();
     control_server(const control_server &) = delete;
     control_server &operator=(const control_server &) = delete;
@@ -39,6 +41,7 @@
     [[nodiscard]] address at() const { return local_address(socket_); }
 
 private:
+    // An operator's connection.
     struct client {
         tcp_socket socket;
         double since; // accepted, or answered; s of the steady clock
@@ -46,16 +49,21 @@
         std::optional<http_reader> reader;
         bool answered = false; // what else it sends is discarded until it closes, or for a while
     };
+    // A response; `fields` are whole header lines.
     struct response {
         int status;
         std::string body;
         std::string fields = {};
     };
 
+    // The thread: accepts, reads and answers until the end.
     void run();
+    // Accepts until none is waiting, and reads from each at once.
     void accept_all();
     bool read_request(client &from); // false: its connection is to close
+    // Carries out a request; the response to it.
     response handle(const http_head &request) const;
+    // Writes a response; from then on the connection is only read until it closes.
     void answer(client &to, const response &content);
 
     tcp_socket socket_;
--- a/src/proxy/operations/hot_restart.hpp
+++ b/src/proxy/operations/hot_restart.hpp
@@ -24,6 +24,7 @@
 // A message between two processes of one proxy. The kinds' letters on the wire, which releases share, are in
 // one table in hot_restart.cpp.
 struct peer_message {
+    // What the message says, and what its text is.
     enum class kind : std::uint8_t {
         hello,               // a successor asks for the socket; the answer is the state
         endpoint_disabled,   // text: its id
@@ -47,6 +48,7 @@
 
 // Several messages in the form in which they are sent together, and back. Reading throws parse_error.
 [[nodiscard]] std::string to_message(const std::vector<peer_message> &messages);
+// The messages in a text; see to_message().
 [[nodiscard]] std::vector<peer_message> read_message(std::string_view text);
 
 // Runs its own thread from run() on. broadcast() and has_successor() may be called from any thread.
@@ -62,6 +64,7 @@
 
     // `directory`: where the local socket is; `listen`: whose proxy this is.
     hot_restart(std::string directory, const std::string &listen);
+    // Ends the thread and closes the connections to the other processes.
     ~hot_restart();
     hot_restart(const hot_restart &) = delete;
     hot_restart &operator=(const hot_restart &) = delete;
@@ -79,6 +82,7 @@
     [[nodiscard]] bool has_successor() const { return has_successor_.load(); }
 
 private:
+    // Another process of this proxy.
     struct peer {
         tcp_socket socket;
         bool is_successor = false, ready = false;
@@ -86,10 +90,15 @@
         unsigned long sent = 0, acknowledged = 0; // numbers of messages that are to be carried out
     };
 
+    // The thread: accepts successors, reads messages and sends what this process uses.
     void loop();
+    // Opens the local socket where successors connect; where that fails it is tried again later.
     void listen_for_successors();
     bool read_messages(peer &from); // false: it has ended
+    // Computes anew what the others use, and whether a successor serves.
     void on_peers_changed();
+    // Sends messages, and the descriptor `with_socket` unless it is -1. Never waits; false: they were not
+    // sent.
     bool write(peer &to, const std::vector<peer_message> &messages, int with_socket = -1);
 
     const std::string directory_, name_;
--- a/src/proxy/operations/request_metrics.hpp
+++ b/src/proxy/operations/request_metrics.hpp
@@ -33,14 +33,18 @@
     class scoped_request {
     public:
         scoped_request() = default;
+        // For start_request(): the request is counted already.
         explicit scoped_request(request_metrics &metrics) : metrics_(&metrics) {}
         scoped_request(const scoped_request &) = delete;
         scoped_request &operator=(const scoped_request &) = delete;
+        // One that was moved from counts nothing.
         scoped_request(scoped_request &&that) noexcept : metrics_(std::exchange(that.metrics_, nullptr)) {}
+        // Exchanges the two: the request counted here ends with `that`.
         scoped_request &operator=(scoped_request &&that) noexcept {
             std::swap(metrics_, that.metrics_);
             return *this;
         }
+        // The request ends without a result, unless finish() was called.
         ~scoped_request() {
             if (metrics_ != nullptr)
                 metrics_->request_over(nullptr, {});
@@ -72,6 +76,7 @@
         const std::lock_guard guard(lock_);
         ++values_.attempts_sent;
     }
+    // A copy of all counts at one moment.
     [[nodiscard]] snapshot read() const {
         const std::lock_guard guard(lock_);
         return values_;
--- a/src/proxy/request/body_upload.hpp
+++ b/src/proxy/request/body_upload.hpp
@@ -11,8 +11,10 @@
 
 inline constexpr double max_upload_time = 2100; // s that the longest body takes at the lowest rate
 
+// The upload of one request, in the thread of its connection.
 class body_upload {
 public:
+    // `request` has to outlive it.
     explicit body_upload(active_request &request) : request_(request) {}
 
     // `message` has the head and the beginning of the body. A result of timed_out means that the response is
@@ -20,7 +22,9 @@
     attempt_result run(const tcp_socket &upstream, http_reader &message);
 
 private:
+    // Whether the router cancelled the attempt, the request had its final response, or a stop leaves no time.
     bool is_cancelled();
+    // The last byte is written: the endpoint may execute the request, and its deadline is counted from now.
     void on_complete();
 
     active_request &request_;
--- a/src/proxy/request/protocol.hpp
+++ b/src/proxy/request/protocol.hpp
@@ -19,6 +19,7 @@
     double client_timeout = 0;   // s that the client waits, bounded
     const char *fault = nullptr; // if not null, it is no request of the protocol: a line for the client
 };
+// Reads a client's request by the settings; `fault` is set where it is none.
 parsed_request parse_request(const http_head &head, const configuration &settings);
 
 // The request as an endpoint gets it: the protocol's fields unchanged, those of the hop written anew.
--- a/src/proxy/request/rejection_reason.hpp
+++ b/src/proxy/request/rejection_reason.hpp
@@ -8,6 +8,7 @@
 
 namespace harrierpass::proxy {
 
+// In the order of the texts below.
 enum class rejection_reason : std::uint8_t {
     rejected_by_router,
     failed_by_router,
@@ -25,6 +26,7 @@
     "router_rejected", "router_aborted", "stopping", "out_of_time", "too_many_connections",
     "id_in_use",       "no_memory",      "failed",   "invariant"};
 
+// The text in the log.
 constexpr const char *log_text(rejection_reason reason) {
     return rejection_reason_texts[static_cast<std::size_t>(reason)];
 }
--- a/src/proxy/request/request_guard.hpp
+++ b/src/proxy/request/request_guard.hpp
@@ -14,6 +14,7 @@
 
 namespace harrierpass::proxy {
 
+// What holds of every request. A name in the log is name_of().
 enum class invariant : std::uint8_t {
     response_before_close, // a request that was read has a response, or its client has left, when it is over
     one_response,          // no second response
@@ -32,7 +33,9 @@
 // Counts and logs violations. Safe for use by several threads.
 class invariant_monitor {
 public:
+    // Both have to outlive it.
     invariant_monitor(counters &count, log &logger) : counters_(count), log_(logger) {}
+    // Counts and logs a violation; `request_id` is "-" where it concerns no single request.
     void violated(invariant which, std::string_view request_id);
 
 private:
@@ -43,6 +46,7 @@
 // The guard of one request, used by the thread that serves it. Times are Unix times in seconds.
 class request_guard {
 public:
+    // `monitor` has to outlive it.
     explicit request_guard(invariant_monitor &monitor) : monitor_(monitor) {}
     // The request is over: checks that it has its response.
     ~request_guard();
@@ -62,6 +66,7 @@
     // The client has left: no response is owed to it.
     void on_client_disconnected() { client_left_ = true; }
 
+    // Whether the client still waits for a response.
     bool owes_response() const { return read_ && !responded_ && !client_left_; }
     // A step was refused: the request has to end at once.
     bool was_violated() const { return violated_; }
@@ -69,6 +74,7 @@
     bool possibly_executed() const { return possibly_executed_; }
 
 private:
+    // Returns `condition`; where it is false, records the violation.
     bool require(bool condition, invariant which);
 
     invariant_monitor &monitor_;
--- a/src/proxy/request/upstream_attempt.cpp
+++ b/src/proxy/request/upstream_attempt.cpp
@@ -41,9 +41,8 @@
     return result;
 }
 
-// Without a connection afterwards, the result says why. Nothing interrupts a connect, so its limit leaves
-// time for the response; one that this limit cut short says nothing of the endpoint, and neither does a
-// shortage on this machine.
+// Nothing interrupts a connect, so its limit leaves time for the response; one that this limit cut short says
+// nothing of the endpoint, and neither does a shortage on this machine.
 attempt_result upstream_attempt::connect() {
     const attempt_result client_left = {outcome::discarded_unread, upstream_close_reason::client_left};
     auto &routing = context_.routing;
--- a/src/proxy/upstream/upstream_close_reason.hpp
+++ b/src/proxy/upstream/upstream_close_reason.hpp
@@ -8,6 +8,7 @@
 
 namespace harrierpass::proxy {
 
+// In the order of the texts below.
 enum class upstream_close_reason : std::uint8_t {
     client_left,         // the client left before the attempt, or while it took a long response
     client_body_failed,  // the client broke off its long body, or sent it too slowly
@@ -41,6 +42,7 @@
     "long",        "spoilt",       "draining",    "invariant",    "server_closes", "suspect",
     "stale",       "reclaimed",    "gone",        "probed",       "probe_failed"};
 
+// The text in the log.
 constexpr const char *log_text(upstream_close_reason reason) {
     return upstream_close_reason_texts[static_cast<std::size_t>(reason)];
 }
