--- a/src/proxy/configuration.cpp
+++ b/src/proxy/configuration.cpp
@@ -146,9 +146,9 @@
     to.tenants = names_in(settings, "tenants", "name");
     to.zones = names_in(settings, "zones", "name");
     to.kinds = names_in(settings, "shapes", "name");
-    if (to.router.local_zone != none && !to.zones.empty() && to.router.local_zone >= to.zones.size())
+    if (to.router.local_zone != none && !to.zones.empty() && to.router.local_zone.value() >= to.zones.size())
         throw parse_error{"settings.locality is none of settings.zones"};
-    if (fields.text("familyInfo.mode") == "aside" && to.router.origin_kind >= to.kinds.size())
+    if (fields.text("familyInfo.mode") == "aside" && to.router.origin_kind.value() >= to.kinds.size())
         throw parse_error{"settings.familyInfo.originKind is none of settings.shapes"};
     for (index i = 0; i < to.request_classes.size(); ++i)
         to.request_timeouts.push_back(
--- a/src/proxy/discovery/discovery_client.cpp
+++ b/src/proxy/discovery/discovery_client.cpp
@@ -38,7 +38,7 @@
 discovery_client::discovery_client(dispatcher &routing, upstream_pool &upstreams, counters &counts,
                                    log &logger)
     : dispatcher_(routing), upstream_(upstreams), counters_(counts), log_(logger),
-      registry_([&routing](index slot) { return routing.is_referenced(slot); }),
+      registry_([&routing](endpoint_index slot) { return routing.is_referenced(slot); }),
       configuration_(routing.configuration_in_force()), address_(parse_address(configuration_->discovery)),
       buffer_(max_list_size) {
     if (!address_)
@@ -110,11 +110,11 @@
 }
 
 std::pair<std::size_t, std::size_t> discovery_client::endpoint_counts() {
-    std::vector<index> enabled;
+    std::vector<endpoint_index> enabled;
     std::size_t listed = 0, disabled = 0;
     {
         const std::lock_guard guard(registry_lock_);
-        const index origin = dispatcher_.configuration_in_force()->router.origin_kind;
+        const kind_index origin = dispatcher_.configuration_in_force()->router.origin_kind;
         for (const auto &[id, entry] : registry_.listed()) {
             if (origin != none && entry.info.kind == origin)
                 continue;
@@ -310,7 +310,7 @@
         dispatcher_.apply(awaiting_list_, entries);
     else
         dispatcher_.endpoints_updated(kind, entries);
-    for (const index slot : registry_.retire_missing(list, is_snapshot(kind)))
+    for (const endpoint_index slot : registry_.retire_missing(list, is_snapshot(kind)))
         upstream_.close_idle_of(slot, dispatcher_.now(), upstream_close_reason::endpoint_removed);
 }
 
--- a/src/proxy/discovery/endpoint_list.cpp
+++ b/src/proxy/discovery/endpoint_list.cpp
@@ -70,9 +70,9 @@
         const double cell = each.number_at("cell", -1);
         entry.info.state = *state;
         entry.info.started_at = each.number_at("up_since_ms", 0) / 1000;
-        entry.info.zone = index_of_name(names.zones, each.string_at("locality"));
-        entry.info.kind = index_of_name(names.kinds, each.string_at("flavor"));
-        entry.info.cell = cell < 0 || cell > max_cell ? none : static_cast<index>(cell);
+        entry.info.zone = zone_index(index_of_name(names.zones, each.string_at("locality")));
+        entry.info.kind = kind_index(index_of_name(names.kinds, each.string_at("flavor")));
+        entry.info.cell = cell < 0 || cell > max_cell ? none : cell_index(static_cast<index>(cell));
         entry.info.weight = each.number_at("size", 1);
         list.items.push_back(std::move(entry));
     }
@@ -86,9 +86,9 @@
     for (const auto &[id, host_port, info] : list.items) {
         text << std::exchange(separator, ",") << "{\"id\":" << quote(id)
              << ",\"host_port\":" << quote(host_port)
-             << ",\"locality\":" << quote(name_at(names.zones, info.zone))
-             << ",\"flavor\":" << quote(name_at(names.kinds, info.kind))
-             << ",\"cell\":" << (info.cell == none ? -1.0 : static_cast<double>(info.cell))
+             << ",\"locality\":" << quote(name_at(names.zones, info.zone.value()))
+             << ",\"flavor\":" << quote(name_at(names.kinds, info.kind.value()))
+             << ",\"cell\":" << (info.cell == none ? -1.0 : static_cast<double>(info.cell.value()))
              << ",\"phase\":" << quote(name_of(info.state)) << ",\"size\":" << info.weight
              << ",\"up_since_ms\":" << info.started_at * 1000 << '}';
     }
--- a/src/proxy/discovery/endpoint_registry.cpp
+++ b/src/proxy/discovery/endpoint_registry.cpp
@@ -7,17 +7,17 @@
 
 namespace harrierpass::proxy {
 
-std::optional<index> endpoint_registry::slot_of(const std::string &id) const {
+std::optional<endpoint_index> endpoint_registry::slot_of(const std::string &id) const {
     const auto found = slots_.find(id);
     return found == slots_.end() ? std::nullopt : std::optional(found->second);
 }
 
-index endpoint_registry::acquire_slot(const std::string &id) {
+endpoint_index endpoint_registry::acquire_slot(const std::string &id) {
     if (const auto found = slots_.find(id); found != slots_.end()) {
         std::erase(retired_, id);
         return found->second;
     }
-    index slot = slot_count_;
+    endpoint_index slot(slot_count_);
     const auto reusable = std::find_if(retired_.begin(), retired_.end(),
                                        [&](const auto &each) { return !is_referenced_(slots_.at(each)); });
     if (reusable != retired_.end()) {
@@ -36,7 +36,7 @@
     listed_[id] = {info, host_port};
 }
 
-std::vector<index> endpoint_registry::retire_missing(const endpoint_list &list, bool is_snapshot) {
+std::vector<endpoint_index> endpoint_registry::retire_missing(const endpoint_list &list, bool is_snapshot) {
     std::unordered_set<std::string_view> present;
     for (const auto &each : list.items)
         if (each.info.state != endpoint_state::removed)
@@ -51,7 +51,7 @@
         for (const auto &[id, slot] : slots_)
             if (!present.contains(id) && retired.insert(id).second)
                 missing.push_back(id);
-    std::vector<index> slots;
+    std::vector<endpoint_index> slots;
     for (auto &id : missing) {
         slots.push_back(slots_.at(id));
         retired_.push_back(std::move(id));
--- a/src/proxy/discovery/endpoint_registry.hpp
+++ b/src/proxy/discovery/endpoint_registry.hpp
@@ -37,14 +37,14 @@
     using listed_endpoints = std::unordered_map<std::string, listed_endpoint>; // by id
 
     // `is_referenced`: whether an attempt or a health check still refers to a slot.
-    explicit endpoint_registry(std::function<bool(index slot)> is_referenced)
+    explicit endpoint_registry(std::function<bool(endpoint_index slot)> is_referenced)
         : is_referenced_(std::move(is_referenced)) {}
 
     // The slot of an id that holds one, also of a retired one; empty: none.
-    [[nodiscard]] std::optional<index> slot_of(const std::string &id) const;
+    [[nodiscard]] std::optional<endpoint_index> slot_of(const std::string &id) const;
 
     // The slot of the id, which is taken out of retirement, or else a reusable or a new one.
-    index acquire_slot(const std::string &id);
+    endpoint_index acquire_slot(const std::string &id);
 
     // Lists an endpoint (`info` with its slot), or replaces its entry.
     void set_listed(const std::string &id, const endpoint_info &info, const std::string &host_port);
@@ -53,7 +53,7 @@
 
     // Retires the slots of endpoints that a list removes: by name, or, if it is a snapshot, by not naming
     // them. Returns the slots that it retired.
-    std::vector<index> retire_missing(const endpoint_list &list, bool is_snapshot);
+    std::vector<endpoint_index> retire_missing(const endpoint_list &list, bool is_snapshot);
 
     [[nodiscard]] const listed_endpoints &listed() const { return listed_; }
 
@@ -61,10 +61,10 @@
     [[nodiscard]] std::size_t slot_count() const { return slot_count_.load(); }
 
 private:
-    const std::function<bool(index slot)> is_referenced_;
+    const std::function<bool(endpoint_index slot)> is_referenced_;
     listed_endpoints listed_;
-    std::unordered_map<std::string, index> slots_; // by id; of listed and of retired endpoints
-    std::deque<std::string> retired_;              // ids with a retired slot, the first retired first
+    std::unordered_map<std::string, endpoint_index> slots_; // by id; of listed and of retired endpoints
+    std::deque<std::string> retired_; // ids with a retired slot, the first retired first
     std::atomic<index> slot_count_ = 0;
 };
 
--- a/src/proxy/request/active_request.hpp
+++ b/src/proxy/request/active_request.hpp
@@ -22,7 +22,7 @@
     double client_deadline() const;
     // s; the longest wait that the protocol lets a rejection advise.
     double max_retry_after() const { return settings->router.constraints.max_retry_after; }
-    const request_class &class_settings() const { return settings->router.request_classes[class_id]; }
+    const request_class &class_settings() const { return settings->router.request_classes[class_id.value()]; }
 
     bool client_has_left() const { return !client.socket; }
     // The client has closed its connection: no response is owed to it, and nothing more is sent for it.
@@ -48,7 +48,7 @@
 
     // What was asked.
     std::string id; // the X-Request-Id, as the client gave it
-    index class_id = none;
+    class_index class_id = none;
     std::string class_name;
     std::shared_ptr<const configuration> settings; // by which the request was parsed
     bool head_only = false;                        // a HEAD request: responses have no body
--- a/src/proxy/request/dispatcher.cpp
+++ b/src/proxy/request/dispatcher.cpp
@@ -31,26 +31,28 @@
 // Reports every event to the router. The clock is read under the lock, so that the router's time never goes
 // back, and its actions are delivered before the next event.
 template <typename Event> void dispatcher::report_event(Event event) {
-    std::vector<index> health_checks;
+    std::vector<endpoint_index> health_checks;
     bool watch_requested = false;
     {
         const std::lock_guard guard(lock_);
         event(now());
         deliver_actions(health_checks, watch_requested);
     }
-    for (const index endpoint : health_checks)
+    for (const endpoint_index endpoint : health_checks)
         on_check_health(endpoint);
     if (watch_requested)
         on_watch_endpoints();
 }
 
-void dispatcher::deliver_actions(std::vector<index> &health_checks, bool &watch_requested) {
+void dispatcher::deliver_actions(std::vector<endpoint_index> &health_checks, bool &watch_requested) {
     for (const auto &action : router_->actions) {
         request_handle *const handle = action.request != none ? requests_[action.request] : nullptr;
         switch (action.kind) {
         case action_kind::start_attempt:
-            handle->decision_ = {routing_decision::kind::start_attempt, action.endpoint,
-                                 handle->attempts_started_++, false, 0};
+            handle->decision_ = {.kind_of = routing_decision::kind::start_attempt,
+                                 .endpoint = action.endpoint,
+                                 .attempt = handle->next_attempt_};
+            ++handle->next_attempt_;
             handle->endpoints_used_.push_back(action.endpoint);
             ++references_[action.endpoint];
             break;
@@ -68,7 +70,7 @@
             requests_[action.request] = nullptr;
             free_indices_.push_back(action.request);
             handle->request_ = none;
-            for (const index each : handle->endpoints_used_)
+            for (const endpoint_index each : handle->endpoints_used_)
                 --references_[each];
             continue; // its own thread reported the event, so it need not be woken
         case action_kind::check_health:
@@ -96,10 +98,8 @@
         if (read_by != configuration_)
             return;
         submitted = true;
-        if (free_indices_.empty()) {
-            free_indices_.push_back(static_cast<index>(requests_.size()));
-            requests_.push_back(nullptr);
-        }
+        if (free_indices_.empty())
+            free_indices_.push_back(requests_.add(nullptr));
         request.request = handle.request_ = free_indices_.back();
         free_indices_.pop_back();
         handle.waiter_ = pthread_self();
@@ -127,7 +127,7 @@
 
 void dispatcher::attempt_finished(request_handle &handle, outcome result, bool fetched) {
     report_event([&](double now) {
-        const index attempt = handle.decision_.attempt;
+        const attempt_number attempt = handle.decision_.attempt;
         handle.decision_.cancel = false;
         if (handle.decision_.kind_of == routing_decision::kind::attempt_running)
             handle.decision_ = {};
@@ -172,8 +172,7 @@
 
 void dispatcher::reserve_references(std::span<const endpoint_info> entries) {
     for (const auto &each : entries)
-        if (each.endpoint >= references_.size())
-            references_.resize(each.endpoint + 1);
+        references_.grow_to(each.endpoint);
 }
 
 void dispatcher::endpoints_updated(endpoint_update_kind kind, std::span<const endpoint_info> entries) {
@@ -192,7 +191,7 @@
     });
 }
 
-void dispatcher::health_check_finished(index endpoint, std::optional<bool> answered) {
+void dispatcher::health_check_finished(endpoint_index endpoint, std::optional<bool> answered) {
     report_event([&](double now) {
         --references_[endpoint];
         if (answered)
@@ -200,15 +199,16 @@
     });
 }
 
-bool dispatcher::is_referenced(index endpoint) {
+bool dispatcher::is_referenced(endpoint_index endpoint) {
     const std::lock_guard guard(lock_);
-    return endpoint < references_.size() && references_[endpoint] > 0;
+    return references_.contains(endpoint) && references_[endpoint] > 0;
 }
 
-std::size_t dispatcher::count_avoided(std::span<const index> endpoints) {
+std::size_t dispatcher::count_avoided(std::span<const endpoint_index> endpoints) {
     const std::lock_guard guard(lock_);
-    return static_cast<std::size_t>(std::count_if(
-        endpoints.begin(), endpoints.end(), [&](index each) { return router_->avoids_endpoint(each); }));
+    return static_cast<std::size_t>(
+        std::count_if(endpoints.begin(), endpoints.end(),
+                      [&](endpoint_index each) { return router_->avoids_endpoint(each); }));
 }
 
 subset_view dispatcher::subset() {
--- a/src/proxy/request/dispatcher.hpp
+++ b/src/proxy/request/dispatcher.hpp
@@ -5,6 +5,7 @@
 
 #include "net/threads.hpp"
 #include "proxy/configuration.hpp"
+#include "router/indexed_vector.hpp"
 #include "subsets/subset_router.hpp"
 
 #include <functional>
@@ -17,21 +18,21 @@
 struct routing_decision {
     enum class kind : std::uint8_t { queued, start_attempt, attempt_running, reject, fail };
     kind kind_of = kind::queued;
-    index endpoint = none;  // start_attempt, attempt_running
-    index attempt = 0;      // its number: start_attempt, attempt_running
-    bool cancel = false;    // attempt_running: the attempt is to be abandoned
-    double retry_after = 0; // reject: s that the client is to wait
+    endpoint_index endpoint = none; // start_attempt, attempt_running
+    attempt_number attempt{};       // start_attempt, attempt_running
+    bool cancel = false;            // attempt_running: the attempt is to be abandoned
+    double retry_after = 0;         // reject: s that the client is to wait
 };
 
 // A request as its thread and the dispatcher know it. Protected by the dispatcher's lock; its thread reads it
 // through the dispatcher alone.
 class request_handle {
     friend class dispatcher;
-    index request_ = none;
+    request_index request_ = none;
     pthread_t waiter_{};
     routing_decision decision_;
-    index attempts_started_ = 0;
-    std::vector<index> endpoints_used_; // of its attempts
+    attempt_number next_attempt_{};
+    std::vector<endpoint_index> endpoints_used_; // of its attempts
 };
 
 // Makes the router; another one than the default is for comparisons only.
@@ -52,7 +53,7 @@
     double now() const; // Unix time, s; goes forward only
 
     // What the router asks of others. Neither may block. Set before events are reported.
-    std::function<void(index endpoint)> on_check_health;
+    std::function<void(endpoint_index endpoint)> on_check_health;
     std::function<void()> on_watch_endpoints;
 
     // The following are for the request's own thread. A submitted request must be kept until is_released().
@@ -79,16 +80,17 @@
     // The endpoint list changed, or a poll for it failed.
     void endpoints_updated(endpoint_update_kind kind, std::span<const endpoint_info> entries);
     // `answered` is empty where the check was not made.
-    void health_check_finished(index endpoint, std::optional<bool> answered);
-    bool is_referenced(index endpoint); // an active request had an attempt there, or a health check runs
-    std::size_t
-    count_avoided(std::span<const index> endpoints);      // of these endpoints, those that the router avoids
+    void health_check_finished(endpoint_index endpoint, std::optional<bool> answered);
+    // Whether an active request had an attempt there, or a health check runs.
+    bool is_referenced(endpoint_index endpoint);
+    // How many of these endpoints the router avoids.
+    std::size_t count_avoided(std::span<const endpoint_index> endpoints);
     subset_view subset();                                 // which endpoints this proxy uses now
     void run_timer(const std::function<bool()> &stopped); // the timer thread's loop, until `stopped`
 
 private:
     template <typename Event> void report_event(Event event);
-    void deliver_actions(std::vector<index> &health_checks, bool &watch_requested);
+    void deliver_actions(std::vector<endpoint_index> &health_checks, bool &watch_requested);
     void reserve_references(std::span<const endpoint_info> entries);
 
     const double unix_start_;
@@ -96,10 +98,10 @@
     std::mutex lock_; // protects what follows, and every request_handle
     std::shared_ptr<const configuration> configuration_;
     std::unique_ptr<router> router_;
-    std::vector<request_handle *> requests_; // by request index; null: free
-    std::vector<index> free_indices_;
-    std::vector<index> references_; // by endpoint: attempts of active requests, and health checks
-    double wake_at_;                // Unix time, s; when the router's timer is due
+    indexed_vector<request_index, request_handle *> requests_; // null: free
+    std::vector<request_index> free_indices_;
+    indexed_vector<endpoint_index, index> references_; // attempts of active requests, and health checks
+    double wake_at_;                                   // Unix time, s; when the router's timer is due
 };
 
 } // namespace harrierpass::proxy
--- a/src/proxy/request/protocol.cpp
+++ b/src/proxy/request/protocol.cpp
@@ -74,17 +74,17 @@
     if (head.header("X-Request-Id").empty())
         return no_request("no X-Request-Id\n");
     parsed_request parsed;
-    parsed.info.class_id = index_of_name(settings.request_classes, class_name_of(head));
+    parsed.info.class_id = class_index(index_of_name(settings.request_classes, class_name_of(head)));
     if (parsed.info.class_id == none)
         return no_request("no use case of that name\n");
     const string_view key = key_of(head);
     parsed.info.has_key = !key.empty();
     parsed.info.key = ring_hash(key); // of the text alone, so that it is the same at every proxy
-    parsed.info.tenant = index_of_name(settings.tenants, head.header("X-Tenant"));
+    parsed.info.tenant = tenant_index(index_of_name(settings.tenants, head.header("X-Tenant")));
     parsed.info.is_write = head.method == "PUT";
     const bool has_deadline = head.header_count("X-Deadline") > 0;
     const double timeout = has_deadline ? parse_timeout(head.header("X-Deadline"))
-                                        : settings.request_timeouts[parsed.info.class_id];
+                                        : settings.request_timeouts[parsed.info.class_id.value()];
     if (timeout < 0)
         return no_request("X-Deadline is no number like 480m or 480000u\n");
     parsed.client_timeout = std::min(timeout, max_client_timeout);
--- a/src/proxy/request/request_session.cpp
+++ b/src/proxy/request/request_session.cpp
@@ -157,7 +157,7 @@
     expect_response(parsed);
     if (!request_.streams_body)
         request_.count_as_active();
-    request_.class_name = request_.settings->request_classes[request_.class_id];
+    request_.class_name = request_.settings->request_classes[request_.class_id.value()];
 }
 
 // From now on a response is owed, by the settings that the request was parsed with.
--- a/src/proxy/service.cpp
+++ b/src/proxy/service.cpp
@@ -61,7 +61,7 @@
 }
 
 void service::connect_parts() {
-    dispatcher_.on_check_health = [this](index endpoint) { health_checker_.start(endpoint); };
+    dispatcher_.on_check_health = [this](endpoint_index endpoint) { health_checker_.start(endpoint); };
     dispatcher_.on_watch_endpoints = [this] { discovery_.poll_now(); };
     discovery_.on_configuration_applied = [this](const configuration &applied) {
         upstream_.set_timeouts(applied.connect_timeout, applied.upstream_idle_timeout);
--- a/src/proxy/upstream/health_checker.cpp
+++ b/src/proxy/upstream/health_checker.cpp
@@ -24,7 +24,7 @@
 }
 
 // A check that cannot be made is reported as not made, so that the router asks for it again.
-void health_checker::start(index endpoint) {
+void health_checker::start(endpoint_index endpoint) {
     const auto run = [this, endpoint] {
         check_result is_healthy;
         try {
@@ -37,7 +37,7 @@
         report(endpoint, {});
 }
 
-void health_checker::report(index endpoint, check_result is_healthy) {
+void health_checker::report(endpoint_index endpoint, check_result is_healthy) {
     try {
         routing_.health_check_finished(endpoint, is_healthy);
     } catch (const std::bad_alloc &) { // what the router decided waits for its next report
@@ -46,7 +46,7 @@
 }
 
 // Not on an idle connection, which could be to the process before the present one.
-health_checker::check_result health_checker::check(index endpoint) {
+health_checker::check_result health_checker::check(endpoint_index endpoint) {
     upstream_connection connection = upstreams_.connect_new(endpoint, routing_.now());
     std::string_view unsent = health_check_request;
     std::string_view no_body;
--- a/src/proxy/upstream/health_checker.hpp
+++ b/src/proxy/upstream/health_checker.hpp
@@ -24,15 +24,15 @@
     health_checker &operator=(const health_checker &) = delete;
 
     // Starts a check of the endpoint. Its result goes to the dispatcher, always.
-    void start(index endpoint);
+    void start(endpoint_index endpoint);
 
 private:
     // What a check found; empty: it was not made, which says nothing of the endpoint.
     using check_result = std::optional<bool>;
 
-    check_result check(index endpoint);
+    check_result check(endpoint_index endpoint);
     bool exchange(upstream_connection connection, std::string_view unsent);
-    void report(index endpoint, check_result is_healthy);
+    void report(endpoint_index endpoint, check_result is_healthy);
 
     dispatcher &routing_;
     upstream_pool &upstreams_;
--- a/src/proxy/upstream/upstream_pool.cpp
+++ b/src/proxy/upstream/upstream_pool.cpp
@@ -13,7 +13,7 @@
 
 } // namespace
 
-void upstream_pool::set_endpoint(index endpoint, std::string_view id, std::string_view host_port,
+void upstream_pool::set_endpoint(endpoint_index endpoint, std::string_view id, std::string_view host_port,
                                  double started_at, double now) {
     const auto where = parse_address(host_port);
     if (!where)
@@ -21,15 +21,15 @@
     bool is_same = false;
     {
         const std::lock_guard hold(lock_);
-        if (endpoint >= endpoints_.size())
-            endpoints_.resize(endpoint + 1);
-        is_same = endpoints_[endpoint].id == id;
+        if (endpoint.value() >= endpoints_.size())
+            endpoints_.resize(std::size_t{endpoint.value()} + 1);
+        is_same = endpoints_[endpoint.value()].id == id;
     }
     // No request for the new endpoint may be written on a connection to the old one.
     if (!is_same)
         close_idle_of(endpoint, now, upstream_close_reason::endpoint_removed);
     const std::lock_guard hold(lock_);
-    auto &slot = endpoints_[endpoint];
+    auto &slot = endpoints_[endpoint.value()];
     slot.id = id;
     slot.where = where;
     slot.started_at = started_at;
@@ -46,7 +46,7 @@
     return open_ + client_connections_;
 }
 
-void upstream_pool::set_disabled(index endpoint, bool disabled) {
+void upstream_pool::set_disabled(endpoint_index endpoint, bool disabled) {
     const std::unique_lock no_writes(disabled_lock_);
     if (disabled)
         disabled_.insert(endpoint);
@@ -65,9 +65,9 @@
         close_oldest_idle(now);
 }
 
-std::string upstream_pool::id_of(index endpoint) {
+std::string upstream_pool::id_of(endpoint_index endpoint) {
     const std::lock_guard hold(lock_);
-    return endpoints_.at(endpoint).id;
+    return endpoints_.at(endpoint.value()).id;
 }
 
 // A connection that may have ended, or is to a process before the present one, would break under the request
@@ -79,7 +79,7 @@
            peek(connection.socket) != peek_result::empty;
 }
 
-upstream_connection upstream_pool::acquire(index endpoint, double now, double limit) {
+upstream_connection upstream_pool::acquire(endpoint_index endpoint, double now, double limit) {
     auto idle = take_idle(endpoint, now);
     if (!idle)
         return connect_new(endpoint, now, limit);
@@ -90,12 +90,12 @@
 
 // An endpoint may close its connections right after a response. So the latest connection is taken that has
 // been idle long enough to show it, else the one that has been idle longest.
-std::optional<upstream_connection> upstream_pool::take_idle(index endpoint, double now) {
+std::optional<upstream_connection> upstream_pool::take_idle(endpoint_index endpoint, double now) {
     std::vector<closing_connection> stale;
     std::optional<upstream_connection> found;
     {
         const std::lock_guard hold(lock_);
-        auto &slot = endpoints_.at(endpoint);
+        auto &slot = endpoints_.at(endpoint.value());
         while (!slot.idle.empty() && !found) {
             const auto settled = std::find_if(slot.idle.rbegin(), slot.idle.rend(), [&](const auto &each) {
                 return now - each.last_used_at >= settling_time;
@@ -112,12 +112,12 @@
     return found;
 }
 
-upstream_connection upstream_pool::connect_new(index endpoint, double now, double limit) {
+upstream_connection upstream_pool::connect_new(endpoint_index endpoint, double now, double limit) {
     std::optional<address> where;
     bool over_capacity = false;
     {
         const std::lock_guard hold(lock_);
-        where = endpoints_.at(endpoint).where;
+        where = endpoints_.at(endpoint.value()).where;
         ++open_;
         over_capacity = open_ + client_connections_ > capacity_;
     }
@@ -149,17 +149,17 @@
     return socket;
 }
 
-void upstream_pool::connect_failed(index endpoint, const char *error) {
+void upstream_pool::connect_failed(endpoint_index endpoint, const char *error) {
     counters_.add(counter::upstream_connects_failed);
     const std::lock_guard hold(lock_);
     --open_;
-    log_.debug("server-dial-failed server=", endpoints_[endpoint].id, " error=", error);
+    log_.debug("server-dial-failed server=", endpoints_[endpoint.value()].id, " error=", error);
 }
 
 void upstream_pool::release(upstream_connection connection, double now) {
     connection.last_used_at = now;
     const std::lock_guard hold(lock_);
-    endpoints_.at(connection.endpoint).idle.push_back(std::move(connection));
+    endpoints_.at(connection.endpoint.value()).idle.push_back(std::move(connection));
 }
 
 void upstream_pool::close_connection(upstream_connection connection, double now,
@@ -169,11 +169,11 @@
     close_all(closing, now);
 }
 
-void upstream_pool::close_idle_of(index endpoint, double now, upstream_close_reason reason) {
+void upstream_pool::close_idle_of(endpoint_index endpoint, double now, upstream_close_reason reason) {
     std::vector<closing_connection> closing;
     {
         const std::lock_guard hold(lock_);
-        auto &idle = endpoints_.at(endpoint).idle;
+        auto &idle = endpoints_.at(endpoint.value()).idle;
         for (auto &each : idle)
             closing.push_back({std::move(each), reason});
         idle.clear();
@@ -220,7 +220,7 @@
         {
             const std::lock_guard hold(lock_);
             --open_;
-            id = endpoints_[connection.endpoint].id;
+            id = endpoints_[connection.endpoint.value()].id;
         }
         connection.socket.close();
         if (reason == upstream_close_reason::stale)
--- a/src/proxy/upstream/upstream_pool.hpp
+++ b/src/proxy/upstream/upstream_pool.hpp
@@ -25,7 +25,7 @@
 
 struct upstream_connection {
     tcp_socket socket; // empty: no connection came up
-    index endpoint = none;
+    endpoint_index endpoint = none;
     double connected_at = 0;
     double last_used_at = 0;     // when its last response came
     double idle_time = 0;        // s that it was idle before its present attempt
@@ -55,15 +55,15 @@
 
     // Sets where an endpoint is and when its process started. Its index may have been another endpoint's, to
     // which nothing refers any more.
-    void set_endpoint(index endpoint, std::string_view id, std::string_view host_port, double started_at,
-                      double now);
-    std::string id_of(index endpoint);
+    void set_endpoint(endpoint_index endpoint, std::string_view id, std::string_view host_port,
+                      double started_at, double now);
+    std::string id_of(endpoint_index endpoint);
 
     // When this returns, nothing new is written to a disabled endpoint.
-    void set_disabled(index endpoint, bool disabled);
+    void set_disabled(endpoint_index endpoint, bool disabled);
     // Calls `write`, the first write of an attempt or health check, which must not wait. False, without a
     // call: the endpoint is disabled.
-    template <typename Write> bool unless_disabled(index endpoint, Write write) {
+    template <typename Write> bool unless_disabled(endpoint_index endpoint, Write write) {
         const std::shared_lock writing(disabled_lock_);
         if (disabled_.contains(endpoint))
             return false;
@@ -73,14 +73,14 @@
 
     // An idle connection or a new one; without a socket where none came up within `limit` seconds or the
     // connect timeout, whichever is shorter.
-    upstream_connection acquire(index endpoint, double now, double limit = forever);
-    upstream_connection connect_new(index endpoint, double now, double limit = forever);
+    upstream_connection acquire(endpoint_index endpoint, double now, double limit = forever);
+    upstream_connection connect_new(endpoint_index endpoint, double now, double limit = forever);
     // Gives a connection back for the next attempt.
     void release(upstream_connection connection, double now);
     void close_connection(upstream_connection connection, double now, upstream_close_reason reason);
 
     // Closes all that are idle at the endpoint.
-    void close_idle_of(index endpoint, double now, upstream_close_reason reason);
+    void close_idle_of(endpoint_index endpoint, double now, upstream_close_reason reason);
     // Closes the idle ones that cannot be used again.
     void close_stale(double now);
     // Closes the connection that has been idle longest, for its descriptor. False: none is idle.
@@ -98,9 +98,9 @@
         upstream_close_reason reason;
     };
 
-    std::optional<upstream_connection> take_idle(index endpoint, double now);
+    std::optional<upstream_connection> take_idle(endpoint_index endpoint, double now);
     tcp_socket connect(const address &where, double limit, double now);
-    void connect_failed(index endpoint, const char *error);
+    void connect_failed(endpoint_index endpoint, const char *error);
     bool is_stale(const upstream_connection &connection, const endpoint_slot &slot, double now) const;
     void close_all(std::vector<closing_connection> &closing, double now);
 
@@ -111,7 +111,7 @@
     log &log_;
 
     std::shared_mutex disabled_lock_; // shared while a first write is made
-    std::set<index> disabled_;
+    std::set<endpoint_index> disabled_;
 
     std::mutex lock_;                     // guards what follows
     std::deque<endpoint_slot> endpoints_; // by index
--- a/src/router/endpoint_fleet.cpp
+++ b/src/router/endpoint_fleet.cpp
@@ -46,7 +46,7 @@
 
 void endpoint_fleet::update_settings(const router_settings &settings) {
     configure(settings);
-    for (endpoint_index endpoint = 0; endpoint < table_.size(); ++endpoint)
+    for (endpoint_index endpoint{0}; endpoint < table_.end_index(); ++endpoint)
         table_[endpoint].limit.set_proxy_count(proxy_count_);
 }
 
@@ -107,7 +107,7 @@
 void endpoint_fleet::update_ring() {
     members_.clear();
     std::vector<ring_member> on_ring;
-    for (endpoint_index endpoint = 0; endpoint < table_.size(); ++endpoint) {
+    for (endpoint_index endpoint{0}; endpoint < table_.end_index(); ++endpoint) {
         auto &record = table_[endpoint];
         if (record.info.state == endpoint_state::ready && !table_.is_origin(record))
             members_.push_back(endpoint);
--- a/src/router/endpoint_table.cpp
+++ b/src/router/endpoint_table.cpp
@@ -14,8 +14,7 @@
 }
 
 endpoint_record &endpoint_table::at_or_new(endpoint_index endpoint) {
-    if (endpoint >= records_.size())
-        records_.resize(endpoint + 1);
+    records_.grow_to(endpoint);
     return records_[endpoint];
 }
 
@@ -26,7 +25,7 @@
 
 std::vector<endpoint_index> endpoint_table::ready_cache_endpoints() const {
     std::vector<endpoint_index> ready;
-    for (endpoint_index endpoint = 0; endpoint < size(); ++endpoint)
+    for (endpoint_index endpoint{0}; endpoint < end_index(); ++endpoint)
         if (records_[endpoint].info.state == endpoint_state::ready && !is_origin(records_[endpoint]))
             ready.push_back(endpoint);
     return ready;
@@ -35,14 +34,14 @@
 void endpoint_table::update_origin() {
     if (origin_ != none && !is_origin(records_[origin_]))
         origin_ = none;
-    for (endpoint_index endpoint = 0; endpoint < size(); ++endpoint) {
+    for (endpoint_index endpoint{0}; endpoint < end_index(); ++endpoint) {
         auto &record = records_[endpoint];
         record.limit.set_origin(is_origin(record));
         if (is_origin(record) && (origin_ == none || record.info.state != endpoint_state::removed))
             origin_ = endpoint;
     }
     fleet_in_flight_ = 0;
-    for (endpoint_index endpoint = 0; endpoint < size(); ++endpoint)
+    for (endpoint_index endpoint{0}; endpoint < end_index(); ++endpoint)
         fleet_in_flight_ += endpoint == origin_ ? 0 : records_[endpoint].in_flight;
 }
 
--- a/src/router/endpoint_table.hpp
+++ b/src/router/endpoint_table.hpp
@@ -3,6 +3,7 @@
 #pragma once
 
 #include "router/concurrency_limits.hpp"
+#include "router/indexed_vector.hpp"
 #include "router/load_reports.hpp"
 #include "router/origin_protection.hpp"
 #include "router/outlier_detection.hpp"
@@ -43,7 +44,7 @@
 class endpoint_table {
 public:
     /// The kind of the origin's entry; none: there is no origin. update_origin() applies it.
-    void set_origin_kind(index origin_kind) { origin_kind_ = origin_kind; }
+    void set_origin_kind(kind_index origin_kind) { origin_kind_ = origin_kind; }
     /// A record as a new endpoint has it. `limit`: its first limit.
     static endpoint_record make_record(const endpoint_info &entry, adaptive_limit limit, double now);
     /// The record of an index, which may be new.
@@ -69,11 +70,12 @@
     /// The record of an index that was listed before.
     endpoint_record &operator[](endpoint_index endpoint) { return records_[endpoint]; }
     const endpoint_record &operator[](endpoint_index endpoint) const { return records_[endpoint]; }
-    [[nodiscard]] endpoint_index size() const { return static_cast<endpoint_index>(records_.size()); }
+    /// The index after the last one.
+    [[nodiscard]] endpoint_index end_index() const { return records_.end_index(); }
 
 private:
-    std::vector<endpoint_record> records_;
-    index origin_kind_ = none;
+    indexed_vector<endpoint_index, endpoint_record> records_;
+    kind_index origin_kind_ = none;
     endpoint_index origin_ = none;
     std::uint32_t fleet_in_flight_ = 0;
 };
--- a/src/router/hash_ring.cpp
+++ b/src/router/hash_ring.cpp
@@ -35,25 +35,25 @@
     if (placed_.size() < members.size())
         placed_.resize(members.size());
     std::erase_if(points_, [&](const ring_point &point) {
-        return point.virtual_node >= members[point.endpoint].virtual_nodes;
+        return point.virtual_node >= members[point.endpoint.value()].virtual_nodes;
     });
     const auto kept = static_cast<std::ptrdiff_t>(points_.size());
-    for (endpoint_index endpoint = 0; endpoint < members.size(); ++endpoint) {
-        const auto &member = members[endpoint];
-        for (std::uint32_t node = placed_[endpoint]; node < member.virtual_nodes; ++node) {
+    for (index position = 0; position < members.size(); ++position) {
+        const auto &member = members[position];
+        for (std::uint32_t node = placed_[position]; node < member.virtual_nodes; ++node) {
             std::string name(member.id);
             name.append(":").append(std::to_string(node));
-            points_.push_back({ring_hash(name), endpoint, node});
+            points_.push_back({ring_hash(name), endpoint_index(position), node});
         }
-        placed_[endpoint] = member.virtual_nodes;
+        placed_[position] = member.virtual_nodes;
     }
     std::sort(points_.begin() + kept, points_.end());
     std::inplace_merge(points_.begin(), points_.begin() + kept, points_.end());
 }
 
 void hash_ring::reset(endpoint_index endpoint) {
-    if (endpoint < placed_.size())
-        placed_[endpoint] = 0;
+    if (endpoint.value() < placed_.size())
+        placed_[endpoint.value()] = 0;
 }
 
 std::size_t hash_ring::first_after(std::uint64_t position) const {
--- a/src/router/quota.cpp
+++ b/src/router/quota.cpp
@@ -18,9 +18,9 @@
 }
 
 bool tenant_quotas::is_over_quota(tenant_index tenant, double now) {
-    if (tenant >= buckets_.size())
+    if (tenant.value() >= buckets_.size())
         return false;
-    auto &bucket = buckets_[tenant];
+    auto &bucket = buckets_[tenant.value()];
     const double capacity = std::max(burst_size, bucket.rate);
     bucket.tokens = std::min(capacity, bucket.tokens + bucket.rate * (now - bucket.updated_at));
     bucket.updated_at = now;
--- a/src/router/request_lifecycle.cpp
+++ b/src/router/request_lifecycle.cpp
@@ -86,7 +86,7 @@
     ++request.open_attempts;
     request.attempts.push_back({to, now_});
     endpoints_.count_in_flight(request.attempts.back(), !request.streams_body, now_);
-    actions.push_back({action_kind::start_attempt, id, to, 0, 0});
+    actions.push_back({.kind = action_kind::start_attempt, .request = id, .endpoint = to});
 }
 
 request_event request_router::enqueue(request_index id) {
@@ -98,8 +98,9 @@
 
 request_event request_router::finish(request_index id) {
     const double time_left = retry_policy_.client_retry_deadline(requests_[id]) - now_;
-    actions.push_back({time_left > 0 ? action_kind::reject_request : action_kind::fail_request, id});
-    actions.back().time = retry_policy_.advised_wait(time_left);
+    actions.push_back({.kind = time_left > 0 ? action_kind::reject_request : action_kind::fail_request,
+                       .request = id,
+                       .time = retry_policy_.advised_wait(time_left)});
     return release(id);
 }
 
@@ -110,7 +111,7 @@
         fetches_.end(request.key);
     if (request.open_attempts == 0) {
         requests_.release(id);
-        actions.push_back({action_kind::release_request, id, none, 0, 0});
+        actions.push_back({.kind = action_kind::release_request, .request = id});
     }
     return request_event::nothing;
 }
@@ -134,8 +135,8 @@
     const auto &request = requests_[id];
     if (!retry_budget_.is_available() || !retry_policy_.allows_cancel(request, now_))
         return request_event::nothing;
-    const auto number = static_cast<attempt_number>(request.attempts.size() - 1);
-    actions.push_back({action_kind::cancel_attempt, id, none, number, 0});
+    const auto number = attempt_number(static_cast<index>(request.attempts.size() - 1));
+    actions.push_back({.kind = action_kind::cancel_attempt, .request = id, .attempt = number});
     return request_event::nothing;
 }
 
--- a/src/router/request_router.cpp
+++ b/src/router/request_router.cpp
@@ -12,8 +12,8 @@
 
 } // namespace
 
-std::unique_ptr<router> make_router(const router_settings &given, std::uint32_t seed, double now) {
-    return std::make_unique<request_router>(given, seed, now);
+std::unique_ptr<router> make_router(const router_settings &settings, std::uint32_t seed, double now) {
+    return std::make_unique<request_router>(settings, seed, now);
 }
 
 // ---- Settings
@@ -23,7 +23,7 @@
       endpoint_refresh_(now, random_.fraction()), endpoints_(settings),
       selection_(endpoints_, retry_policy_) {
     configure(settings);
-    actions.push_back({action_kind::set_timer, none, none, 0, now + timer_period});
+    actions.push_back({.kind = action_kind::set_timer, .time = now + timer_period});
 }
 
 void request_router::configure(const router_settings &settings) {
@@ -42,7 +42,7 @@
     now_ = now;
     configure(settings);
     endpoints_.update_settings(settings);
-    for (request_index id = 0; id < requests_.size(); ++id) {
+    for (request_index id{0}; id < requests_.end_index(); ++id) {
         auto &request = requests_[id];
         if (request.is_live)
             request.uses_origin = has_origin_kind_ && (request.uses_origin || request.is_write);
@@ -63,7 +63,7 @@
     request.is_write = info.is_write;
     request.streams_body = info.streams_body;
     request.uses_origin = info.is_write && has_origin_kind_;
-    request.class_settings = request_classes_[info.class_id];
+    request.class_settings = request_classes_[info.class_id.value()];
     place_on_ring(request, info);
     request.deadline = info.deadline - deadline_margin_;
     request.admission_draw = random_.fraction();
@@ -88,9 +88,9 @@
                                          bool over, bool fetched, const load_report &report) {
     now_ = now;
     auto &request = requests_[id];
-    if (number >= request.attempts.size() || !request.attempts[number].is_open)
+    if (number.value() >= request.attempts.size() || !request.attempts[number.value()].is_open)
         return;
-    auto &attempt = request.attempts[number];
+    auto &attempt = request.attempts[number.value()];
     attempt.is_open = false;
     attempt.result = result;
     --request.open_attempts;
@@ -181,7 +181,7 @@
 }
 
 void request_router::cancel_attempts_at(endpoint_index endpoint) {
-    for (request_index id = 0; id < requests_.size(); ++id) {
+    for (request_index id{0}; id < requests_.end_index(); ++id) {
         const auto &request = requests_[id];
         if (!request.is_live || request.state != request_state::in_progress)
             continue;
@@ -195,7 +195,7 @@
 
 void request_router::on_timer(double now) {
     now_ = now;
-    actions.push_back({action_kind::set_timer, none, none, 0, now + timer_period});
+    actions.push_back({.kind = action_kind::set_timer, .time = now + timer_period});
     poll_endpoints();
     check_endpoints();
     expire_deadlines();
@@ -205,7 +205,7 @@
 void request_router::poll_endpoints() {
     if (!constraints_.watch_required || !endpoint_refresh_.is_due(now_))
         return;
-    actions.push_back({action_kind::watch_endpoints});
+    actions.push_back({.kind = action_kind::watch_endpoints});
     endpoint_refresh_.on_poll_sent(now_, constraints_.max_poll_interval);
 }
 
@@ -217,7 +217,7 @@
         if (endpoints_.check(endpoint, pause, now_))
             cancel_attempts_at(endpoint);
         if (endpoints_.take_due_health_check(endpoint, now_))
-            actions.push_back({action_kind::check_health, none, endpoint, 0, 0});
+            actions.push_back({.kind = action_kind::check_health, .endpoint = endpoint});
     }
     endpoints_.refresh(now_);
 }
--- a/src/router/request_table.cpp
+++ b/src/router/request_table.cpp
@@ -4,8 +4,7 @@
 namespace harrierpass {
 
 request_record &request_table::create(request_index request) {
-    if (request >= records_.size())
-        records_.resize(request + 1);
+    records_.grow_to(request);
     auto &record = records_[request];
     const std::uint32_t generation = record.generation + 1;
     record = request_record{};
--- a/src/router/request_table.hpp
+++ b/src/router/request_table.hpp
@@ -3,6 +3,7 @@
 // seconds.
 #pragma once
 
+#include "router/indexed_vector.hpp"
 #include "router/types.hpp"
 
 #include <functional>
@@ -64,10 +65,11 @@
     /// The record of an index that was created before.
     request_record &operator[](request_index request) { return records_[request]; }
     const request_record &operator[](request_index request) const { return records_[request]; }
-    [[nodiscard]] request_index size() const { return static_cast<request_index>(records_.size()); }
+    /// The index after the last one.
+    [[nodiscard]] request_index end_index() const { return records_.end_index(); }
 
 private:
-    std::vector<request_record> records_;
+    indexed_vector<request_index, request_record> records_;
 };
 
 /// A deadline of one generation of a request.
--- a/src/router/router.hpp
+++ b/src/router/router.hpp
@@ -28,34 +28,37 @@
     virtual void on_endpoints_updated(double now, endpoint_update_kind kind,
                                       std::span<const endpoint_info> entries) = 0;
     /// A request arrived.
-    virtual void on_request(double now, const request_info &from) = 0;
+    virtual void on_request(double now, const request_info &request) = 0;
     /// An attempt ended. `over`: the request has its final response, from this attempt or an earlier one.
     /// `fetched`: the endpoint had to fetch the response from the origin.
-    virtual void on_attempt_finished(double now, index qry, index execution, outcome result, bool over,
-                                     bool fetched, const load_report &told = {}) = 0;
+    virtual void on_attempt_finished(double now, request_index request, attempt_number attempt,
+                                     outcome result, bool over, bool fetched,
+                                     const load_report &report = {}) = 0;
     /// The response has started and is being relayed to the client, whose pace says nothing of the endpoint.
-    virtual void on_response_started(double now, index qry, bool fetched = false) = 0;
+    virtual void on_response_started(double now, request_index request, bool fetched = false) = 0;
     /// The body of a request with `streams_body` was sent completely: its attempt and its deadline start now.
-    virtual void on_request_body_sent(double, index, double /*statement_end*/) {}
+    virtual void on_request_body_sent(double /*now*/, request_index /*request*/, double /*deadline*/) {}
     /// The client disconnected; it needs no response any more.
-    virtual void on_client_disconnected(double now, index qry) = 0;
+    virtual void on_client_disconnected(double now, request_index request) = 0;
     /// Time (s) until which the latest attempt, not written yet, may be written to its last byte; 0: not any
     /// more. A caller that has to connect first asks before it writes, as the decision may be outdated.
-    virtual double attempt_write_deadline(index) const { return std::numeric_limits<double>::infinity(); }
+    virtual double attempt_write_deadline(request_index /*request*/) const {
+        return std::numeric_limits<double>::infinity();
+    }
     /// A health check finished; `answered`: the endpoint responded.
-    virtual void on_health_check_finished(double now, index server, bool answered,
-                                          const load_report &told = {}) = 0;
+    virtual void on_health_check_finished(double now, endpoint_index endpoint, bool answered,
+                                          const load_report &report = {}) = 0;
     /// A timer fired.
     virtual void on_timer(double now) = 0;
     /// New settings hold from now on. Requests in progress keep their class and their deadline. The next call
     /// has to be on_endpoints_updated() with a snapshot in terms of the new settings. Routers that serve only
     /// as a baseline for comparison may ignore it.
-    virtual void update_settings(double, const router_settings &) {}
+    virtual void update_settings(double /*now*/, const router_settings & /*settings*/) {}
 
     /// The endpoint gets no requests because it is ejected.
-    virtual bool avoids_endpoint(index) const { return false; }
+    virtual bool avoids_endpoint(endpoint_index /*endpoint*/) const { return false; }
     /// The endpoint is ejected, whether or not mass ejection overrides that.
-    virtual bool is_ejected(index) const { return false; }
+    virtual bool is_ejected(endpoint_index /*endpoint*/) const { return false; }
     /// The subset of endpoints in use.
     virtual subset_view subset() const { return {}; }
 
@@ -64,7 +67,7 @@
 };
 
 /// Creates the router of one proxy. `seed` determines all its random draws.
-std::unique_ptr<router> make_router(const router_settings &given, std::uint32_t seed, double now);
+std::unique_ptr<router> make_router(const router_settings &settings, std::uint32_t seed, double now);
 
 /// Position on the hash ring of a virtual node or a key, given as text (XXH64 with seed 0).
 std::uint64_t ring_hash(std::string_view text);
--- a/src/router/types.hpp
+++ b/src/router/types.hpp
@@ -3,24 +3,30 @@
 // Names are represented by small dense indices that the caller assigns.
 #pragma once
 
+#include "router/typed_index.hpp"
+
 #include <cstdint>
-#include <limits>
 #include <string_view>
 #include <vector>
 
 namespace harrierpass {
 
-/// Dense index of any kind; the aliases below say which kind is meant.
-using index = std::uint32_t;
-using request_index = std::uint32_t;  ///< A request in the request table; reused after release_request.
-using endpoint_index = std::uint32_t; ///< An endpoint; reused once it is removed and no request refers to it.
-using class_index = std::uint32_t;    ///< Position in router_settings::request_classes.
-using tenant_index = std::uint32_t;   ///< Position in router_settings::tenant_quotas.
-using zone_index = std::uint32_t;     ///< An availability zone.
-using attempt_number = std::uint32_t; ///< Attempts of one request, numbered from 0 in order of their start.
-
-/// "No index": the value is absent or unknown.
-inline constexpr index none = std::numeric_limits<index>::max();
+/// A request in the request table; reused after release_request.
+using request_index = typed_index<struct request_index_tag>;
+/// An endpoint; reused once it is removed and no request refers to it.
+using endpoint_index = typed_index<struct endpoint_index_tag>;
+/// Position in router_settings::request_classes.
+using class_index = typed_index<struct class_index_tag>;
+/// Position in router_settings::tenant_quotas.
+using tenant_index = typed_index<struct tenant_index_tag>;
+/// An availability zone.
+using zone_index = typed_index<struct zone_index_tag>;
+/// A deployment cell, within which endpoints may recognize a retry.
+using cell_index = typed_index<struct cell_index_tag>;
+/// A kind of endpoint, such as the origin's.
+using kind_index = typed_index<struct kind_index_tag>;
+/// Attempts of one request, numbered from 0 in order of their start.
+using attempt_number = typed_index<struct attempt_number_tag>;
 
 /// Share of the upstream's idle timeout for which a proxy reuses an idle connection. The rest covers clock
 /// differences and network latency.
@@ -66,14 +72,14 @@
     std::vector<request_class> request_classes;
     std::vector<double> tenant_quotas;   ///< Requests per second of each tenant, over all proxies.
     double over_quota_weight_share = 1;  ///< Factor on the priority weight of a request over quota.
-    index local_zone = none;             ///< Zone of this proxy.
+    zone_index local_zone = none;        ///< Zone of this proxy.
     double cross_zone_cost = 0;          ///< Cost of a cross-zone attempt, as a share of a request's value.
     double origin_fetch_cost = 0;        ///< Cost of an origin fetch, as a share of a request's value.
     index proxy_count = 1;               ///< Number of proxies, this one included.
     index proxy_index = none;            ///< Number of this proxy, from 0; none: unknown.
     double handshake_cost = 0;           ///< Cost of a new connection, as a share of a request's value.
     double upstream_idle_timeout = 0;    ///< Time for which endpoints keep idle connections, s; 0: unknown.
-    index origin_kind = none;            ///< Cache-aside mode: the kind of the origin's endpoint entry.
+    kind_index origin_kind = none;       ///< Cache-aside mode: the kind of the origin's endpoint entry.
     double event_batch_interval = 0.005; ///< Shortest time between two batches of events, s.
 };
 
@@ -103,21 +109,21 @@
 
 /// One entry of the endpoint list.
 struct endpoint_info {
-    index endpoint = none; ///< Index that the caller assigned to the id.
+    endpoint_index endpoint = none; ///< Index that the caller assigned to the id.
     std::string_view id;   ///< Identifies the endpoint to all proxies; its ring points follow from it.
     double started_at = 0; ///< Start of its process; 0: unknown or long ago.
-    index kind = none;
-    index zone = none;
-    index cell = none;
+    kind_index kind = none;
+    zone_index zone = none;
+    cell_index cell = none;
     double weight = 1;
     endpoint_state state = endpoint_state::ready;
 };
 
 /// A request as it arrives.
 struct request_info {
-    index request = none; ///< Chosen by the caller; free again after release_request.
-    index class_id = 0;
-    index tenant = 0;
+    request_index request = none; ///< Chosen by the caller; free again after release_request.
+    class_index class_id{};
+    tenant_index tenant{};
     bool has_key = false;
     bool is_write = false;
     std::uint64_t key = 0;
@@ -171,9 +177,9 @@
 /// One decision of the router; fields that its kind does not use keep their defaults.
 struct action {
     action_kind kind;
-    index request = none;
-    index endpoint = none;
-    index attempt = 0;
+    request_index request = none;
+    endpoint_index endpoint = none;
+    attempt_number attempt{};
     double time = 0; ///< set_timer: when it fires, s; reject_request: advised wait, s.
 };
 
--- a/src/settings/settings_reader.cpp
+++ b/src/settings/settings_reader.cpp
@@ -81,9 +81,9 @@
 }
 
 // The kind of the list's origin entry; none where endpoints fetch for themselves.
-index read_origin_kind(const field_reader &fields) {
+kind_index read_origin_kind(const field_reader &fields) {
     const bool proxies_fetch = fields.choice("familyInfo.mode", {"through", "aside"}) == "aside";
-    return proxies_fetch ? fields.count("familyInfo.originKind", none) : none;
+    return proxies_fetch ? kind_index(fields.count("familyInfo.originKind", none)) : none;
 }
 
 } // namespace
@@ -93,7 +93,7 @@
     result.request_classes = read_request_classes(fields);
     result.tenant_quotas = read_tenant_quotas(fields);
     result.over_quota_weight_share = fields.number_within("excessImportance", 1, 0, 1);
-    result.local_zone = fields.count("locality", none);
+    result.local_zone = zone_index(fields.count("locality", none));
     result.cross_zone_cost = fields.number_within("fees.crossZone", 0, 0, max_cost);
     result.origin_fetch_cost = fields.number_within("fees.origin", 0, 0, max_cost);
     result.proxy_index = fields.count("me", none);
--- a/src/simulator_adapter/adapter.cpp
+++ b/src/simulator_adapter/adapter.cpp
@@ -158,7 +158,7 @@
 
 void adapter::receive_request(instance &target, line_parser &line) {
     request_arrived_message message = parse_request_arrived(line);
-    if (message.request.class_id >= target.class_count)
+    if (message.request.class_id.value() >= target.class_count)
         throw parse_error{"unknown class"};
     if (target.request_ids.find(message.request_id) != none)
         throw parse_error{"the id came before"};
@@ -168,7 +168,7 @@
 
 void adapter::finish_attempt(instance &target, line_parser &line) {
     const attempt_finished_message message = parse_attempt_finished(line);
-    const index request = target.request_ids.find(message.request_id);
+    const request_index request = target.request_ids.find(message.request_id);
     if (request == none)
         throw parse_error{"unknown request"};
     target.decides->on_attempt_finished(now_, request, message.attempt, message.result, message.is_final,
@@ -177,14 +177,14 @@
 
 void adapter::finish_health_check(instance &target, line_parser &line) {
     const health_check_finished_message message = parse_health_check_finished(line);
-    const index endpoint = target.endpoint_ids.find(message.endpoint_id);
+    const endpoint_index endpoint = target.endpoint_ids.find(message.endpoint_id);
     if (endpoint == none)
         throw parse_error{"unknown cache node"};
     target.decides->on_health_check_finished(now_, endpoint, message.answered, message.report);
 }
 
 void adapter::apply_request_event(message_kind kind, instance &target, line_parser &line) {
-    const index request = target.request_ids.find(line.word());
+    const request_index request = target.request_ids.find(line.word());
     if (request == none)
         return;
     if (kind == message_kind::response_started)
--- a/src/simulator_adapter/adapter.hpp
+++ b/src/simulator_adapter/adapter.hpp
@@ -31,7 +31,8 @@
     // A router and the ids of its requests and endpoints.
     struct instance {
         std::unique_ptr<router> decides;
-        id_table request_ids, endpoint_ids;
+        id_table<request_index> request_ids;
+        id_table<endpoint_index> endpoint_ids;
         index class_count = 0;
     };
 
--- a/src/simulator_adapter/wire_messages.cpp
+++ b/src/simulator_adapter/wire_messages.cpp
@@ -155,12 +155,12 @@
     endpoint_list_entry entry;
     const auto started_at = values.optional_number<double>("the start is no number");
     entry.info.started_at = started_at.value_or(0) / milliseconds_per_second;
-    entry.info.kind = values.optional_number<index>("the kind is no number").value_or(none);
+    entry.info.kind = kind_index(values.optional_number<index>("the kind is no number").value_or(none));
     entry.info.weight = values.optional_number<double>("the size is no number").value_or(1);
     entry.info.state = kind_of(values.word(), state_names, "unknown state");
     entry.id = values.word();
-    entry.info.zone = values.optional_number<index>("the zone is no number").value_or(none);
-    entry.info.cell = values.optional_number<index>("the cell is no number").value_or(none);
+    entry.info.zone = zone_index(values.optional_number<index>("the zone is no number").value_or(none));
+    entry.info.cell = cell_index(values.optional_number<index>("the cell is no number").value_or(none));
     return entry;
 }
 
@@ -190,20 +190,20 @@
     const auto flags = line.optional_number<std::uint64_t>("the bits are no number").value_or(0);
     request.is_write = (flags & write_flag) != 0;
     line.skip(); // the size of the value
-    request.class_id = line.number<index>("the class is no number");
+    request.class_id = class_index(line.number<index>("the class is no number"));
     const auto key = line.optional_number<std::uint64_t>("the key is no number");
     request.has_key = key.has_value();
     request.key = key.value_or(0);
     request.deadline = line.number<double>("the deadline is no number") / milliseconds_per_second;
     line.skip(); // the hint
-    request.tenant = line.optional_number<index>("the tenant is no number").value_or(0);
+    request.tenant = tenant_index(line.optional_number<index>("the tenant is no number").value_or(0));
     return message;
 }
 
 attempt_finished_message parse_attempt_finished(line_parser &line) {
     attempt_finished_message message;
     message.request_id = line.word();
-    message.attempt = line.number<index>("the attempt is no number");
+    message.attempt = attempt_number(line.number<index>("the attempt is no number"));
     line.skip(); // the endpoint, which the router knows
     message.result = kind_of(line.word(), outcome_names, "unknown outcome");
     line.skip(); // the time it took
@@ -234,7 +234,7 @@
         reply.append(ids.request).append(" ").append(ids.endpoint).append(" -");
         break;
     case action_kind::cancel_attempt:
-        reply.append(ids.request).append(" ").append(std::to_string(decided.attempt));
+        reply.append(ids.request).append(" ").append(std::to_string(decided.attempt.value()));
         break;
     case action_kind::reject_request:
         reply.append(ids.request).append(" ");
--- a/src/simulator_adapter/wire_messages.hpp
+++ b/src/simulator_adapter/wire_messages.hpp
@@ -95,7 +95,7 @@
 // An attempt finished.
 struct attempt_finished_message {
     std::string_view request_id; // in the line
-    index attempt = 0;
+    attempt_number attempt{};
     outcome result = outcome::error;
     bool is_final = false; // the request has its final response
     bool fetched = false;  // the endpoint had to ask the origin
--- a/src/subsets/coverage_report.hpp
+++ b/src/subsets/coverage_report.hpp
@@ -14,7 +14,7 @@
 struct coverage_endpoint {
     std::string id;
     double weight = 1;
-    index zone = none;
+    zone_index zone = none;
 };
 
 // A proxy, as far as its subset depends on it.
--- a/src/subsets/endpoint_selection.cpp
+++ b/src/subsets/endpoint_selection.cpp
@@ -37,8 +37,7 @@
 }
 
 void endpoint_selection::record_endpoint(const endpoint_info &entry) {
-    if (entry.endpoint >= endpoints_.size())
-        endpoints_.resize(entry.endpoint + 1);
+    endpoints_.grow_to(entry.endpoint);
     auto &endpoint = endpoints_[entry.endpoint];
     if (endpoint.id != entry.id) {
         endpoint = {};
@@ -53,14 +52,14 @@
 
 void endpoint_selection::rank_endpoints() {
     ranked_.clear();
-    for (index id = 0; id < endpoints_.size(); ++id) {
+    for (endpoint_index id{0}; id < endpoints_.end_index(); ++id) {
         auto &endpoint = endpoints_[id];
         if (endpoint.info.state == endpoint_state::removed)
             endpoint.is_selected = false;
         if (endpoint.info.state == endpoint_state::ready && !is_origin(endpoint))
             ranked_.push_back(id);
     }
-    std::ranges::sort(ranked_, {}, [&](index id) { return std::pair(endpoints_[id].distance, id); });
+    std::ranges::sort(ranked_, {}, [&](endpoint_index id) { return std::pair(endpoints_[id].distance, id); });
 }
 
 void endpoint_selection::use_initial_level() {
@@ -83,7 +82,7 @@
     distances_.clear();
     usable_shares_.clear();
     double listed_sum = 0;
-    for (const index id : ranked_) {
+    for (const endpoint_index id : ranked_) {
         distances_.push_back(endpoints_[id].distance);
         usable_shares_.push_back(usable_share(now, id, ejecting));
         listed_sum += listed_share(now, id);
@@ -134,7 +133,7 @@
 
 std::vector<endpoint_info> endpoint_selection::take_list_updates() {
     std::vector<endpoint_info> updates;
-    for (index id = 0; id < endpoints_.size(); ++id) {
+    for (endpoint_index id{0}; id < endpoints_.end_index(); ++id) {
         auto &endpoint = endpoints_[id];
         const bool named = std::exchange(endpoint.named_by_list, false);
         const bool changed = std::exchange(endpoint.selection_changed, false);
@@ -148,7 +147,7 @@
 
 std::vector<endpoint_info> endpoint_selection::take_selection_changes() {
     std::vector<endpoint_info> changes;
-    for (const index id : ranked_)
+    for (const endpoint_index id : ranked_)
         if (std::exchange(endpoints_[id].selection_changed, false))
             changes.push_back(reported_entry(id));
     return changes;
@@ -159,8 +158,8 @@
         endpoint.named_by_list = endpoint.selection_changed = false;
 }
 
-bool endpoint_selection::is_selected(index endpoint) const {
-    return endpoint < endpoints_.size() && endpoints_[endpoint].is_selected;
+bool endpoint_selection::is_selected(endpoint_index endpoint) const {
+    return endpoints_.contains(endpoint) && endpoints_[endpoint].is_selected;
 }
 
 subset_view endpoint_selection::view() const {
@@ -181,7 +180,7 @@
     return settings_.proxy_index == none ? 0 : distance(settings_.proxy_index, endpoint_id);
 }
 
-endpoint_info endpoint_selection::reported_entry(index endpoint) const {
+endpoint_info endpoint_selection::reported_entry(endpoint_index endpoint) const {
     const auto &record = endpoints_[endpoint];
     endpoint_info entry = record.info;
     entry.id = record.id;
@@ -190,13 +189,13 @@
     return entry;
 }
 
-double endpoint_selection::listed_share(double now, index endpoint) const {
+double endpoint_selection::listed_share(double now, endpoint_index endpoint) const {
     const double started_at = endpoints_[endpoint].info.started_at;
     const bool warms_up = started_at > 0 && now - started_at < settings_.slow_start.warm_up_time;
     return warms_up ? settings_.slow_start.initial_capacity_share : 1;
 }
 
-double endpoint_selection::usable_share(double now, index endpoint, const router &ejecting) const {
+double endpoint_selection::usable_share(double now, endpoint_index endpoint, const router &ejecting) const {
     if (endpoints_[endpoint].is_reported && ejecting.is_ejected(endpoint))
         return 0;
     return listed_share(now, endpoint);
--- a/src/subsets/endpoint_selection.hpp
+++ b/src/subsets/endpoint_selection.hpp
@@ -8,6 +8,7 @@
 // ranked and never left out.
 #pragma once
 
+#include "router/indexed_vector.hpp"
 #include "router/router.hpp"
 #include "subsets/traffic_estimator.hpp"
 
@@ -57,7 +58,7 @@
     void discard_updates();
 
     // Whether the endpoint is known and selected.
-    bool is_selected(index endpoint) const;
+    bool is_selected(endpoint_index endpoint) const;
     // Figures for operators.
     subset_view view() const;
 
@@ -77,11 +78,11 @@
     // The distance from this proxy; 0 where it has no number.
     std::uint64_t distance_to(std::string_view endpoint_id) const;
     // The entry as the router is to see it: one that is left out counts as draining.
-    endpoint_info reported_entry(index endpoint) const;
+    endpoint_info reported_entry(endpoint_index endpoint) const;
     // The share of the endpoint's capacity that can be relied on, by the list alone.
-    double listed_share(double now, index endpoint) const;
+    double listed_share(double now, endpoint_index endpoint) const;
     // The same, by what this proxy observed of it too.
-    double usable_share(double now, index endpoint, const router &ejecting) const;
+    double usable_share(double now, endpoint_index endpoint, const router &ejecting) const;
     // How many of the nearest endpoints are wanted.
     std::size_t wanted_count(double now, const router &ejecting);
     // Selects the nearest `nearest_count_` endpoints and those with an attempt in flight.
@@ -89,10 +90,10 @@
 
     router_settings settings_;
     bool disabled_;
-    std::vector<endpoint_record> endpoints_; // by endpoint index
-    std::vector<index> ranked_;              // the ready ones, nearest first
-    std::vector<std::uint64_t> distances_;   // scratch: of each in ranked_
-    std::vector<double> usable_shares_;      // scratch: of each in ranked_
+    indexed_vector<endpoint_index, endpoint_record> endpoints_;
+    std::vector<endpoint_index> ranked_;   // the ready ones, nearest first
+    std::vector<std::uint64_t> distances_; // scratch: of each in ranked_
+    std::vector<double> usable_shares_;    // scratch: of each in ranked_
     index level_ = 0;
     index selected_count_ = 0;
     std::size_t nearest_count_ = 0;       // so many of the nearest are selected
--- a/src/subsets/subset_router.cpp
+++ b/src/subsets/subset_router.cpp
@@ -31,7 +31,7 @@
     }
 
     void on_request(double now, const request_info &request) override {
-        traffic_.on_request(now, request.request, settings_.request_classes[request.class_id]);
+        traffic_.on_request(now, request.request, settings_.request_classes[request.class_id.value()]);
         const auto attempts_before = attempt_count_;
         inner_->on_request(now, request);
         forward_actions(now);
@@ -45,29 +45,29 @@
             reconsider_selection(now, sent_at_once ? selection_mode::may_narrow : selection_mode::widen_only);
     }
 
-    void on_attempt_finished(double now, index request, index attempt, outcome result, bool is_final,
-                             bool fetched, const load_report &report) override {
+    void on_attempt_finished(double now, request_index request, attempt_number attempt, outcome result,
+                             bool is_final, bool fetched, const load_report &report) override {
         traffic_.on_attempt_finished(now, request, attempt, result == outcome::completed, fetched);
         inner_->on_attempt_finished(now, request, attempt, result, is_final, fetched, report);
         forward_actions(now);
     }
 
-    void on_response_started(double now, index request, bool fetched) override {
+    void on_response_started(double now, request_index request, bool fetched) override {
         inner_->on_response_started(now, request, fetched);
         forward_actions(now);
     }
 
-    void on_request_body_sent(double now, index request, double deadline) override {
+    void on_request_body_sent(double now, request_index request, double deadline) override {
         inner_->on_request_body_sent(now, request, deadline);
         forward_actions(now);
     }
 
-    void on_client_disconnected(double now, index request) override {
+    void on_client_disconnected(double now, request_index request) override {
         inner_->on_client_disconnected(now, request);
         forward_actions(now);
     }
 
-    void on_health_check_finished(double now, index endpoint, bool answered,
+    void on_health_check_finished(double now, endpoint_index endpoint, bool answered,
                                   const load_report &report) override {
         inner_->on_health_check_finished(now, endpoint, answered, report);
         forward_actions(now);
@@ -87,16 +87,16 @@
         forward_actions(now);
     }
 
-    double attempt_write_deadline(index request) const override {
+    double attempt_write_deadline(request_index request) const override {
         return inner_->attempt_write_deadline(request);
     }
 
     // An endpoint outside the subset is checked by nobody any more, so its ejection is not counted.
-    bool avoids_endpoint(index endpoint) const override {
+    bool avoids_endpoint(endpoint_index endpoint) const override {
         return selection_.is_selected(endpoint) && inner_->avoids_endpoint(endpoint);
     }
 
-    bool is_ejected(index endpoint) const override { return inner_->is_ejected(endpoint); }
+    bool is_ejected(endpoint_index endpoint) const override { return inner_->is_ejected(endpoint); }
 
     subset_view subset() const override { return selection_.view(); }
 
--- a/src/subsets/traffic_estimator.cpp
+++ b/src/subsets/traffic_estimator.cpp
@@ -27,36 +27,35 @@
     decayed_at_ = std::max(decayed_at_, now);
 }
 
-void traffic_estimator::on_request(double now, index request, const request_class &class_settings) {
+void traffic_estimator::on_request(double now, request_index request, const request_class &class_settings) {
     if (first_request_at_ < 0)
         first_request_at_ = decayed_at_ = now;
     ++request_count_;
-    if (request >= requests_.size())
-        requests_.resize(request + 1);
+    requests_.grow_to(request);
     requests_[request] = {now, class_settings.latency_objective, 1 - class_settings.late_value_share, {}};
 }
 
-void traffic_estimator::on_attempt_started(double now, index request, index endpoint) {
+void traffic_estimator::on_attempt_started(double now, request_index request, endpoint_index endpoint) {
     decay(now);
     ++attempts_;
     requests_[request].endpoints.push_back(endpoint);
-    if (endpoint >= in_flight_.size())
-        in_flight_.resize(endpoint + 1);
+    in_flight_.grow_to(endpoint);
     ++in_flight_[endpoint];
     ++total_in_flight_;
 }
 
-void traffic_estimator::on_attempt_finished(double now, index request, index attempt, bool completed,
-                                            bool fetched) {
-    if (request >= requests_.size() || attempt >= requests_[request].endpoints.size())
+void traffic_estimator::on_attempt_finished(double now, request_index request, attempt_number attempt,
+                                            bool completed, bool fetched) {
+    if (!requests_.contains(request) || attempt.value() >= requests_[request].endpoints.size())
         return;
     auto &record = requests_[request];
-    if (record.endpoints[attempt] == none)
+    endpoint_index &endpoint = record.endpoints[attempt.value()];
+    if (endpoint == none)
         return;
     decay(now);
-    --in_flight_[record.endpoints[attempt]];
+    --in_flight_[endpoint];
     --total_in_flight_;
-    record.endpoints[attempt] = none;
+    endpoint = none;
     if (!completed)
         return;
     fetch_share_.add(fetched ? 1 : 0);
@@ -64,8 +63,8 @@
     (fetched ? fetch_loss_ : hit_loss_).add(is_late ? record.late_loss : 0);
 }
 
-void traffic_estimator::on_request_released(index request) {
-    for (const index endpoint : requests_[request].endpoints)
+void traffic_estimator::on_request_released(request_index request) {
+    for (const endpoint_index endpoint : requests_[request].endpoints)
         if (endpoint != none) {
             --in_flight_[endpoint];
             --total_in_flight_;
--- a/src/testbed/model/experiment.cpp
+++ b/src/testbed/model/experiment.cpp
@@ -770,14 +770,14 @@
     for (const auto &each : given.tenants)
         made.tenant_quotas.push_back(each.quota_rps);
     made.over_quota_weight_share = given.proxies.excess_importance;
-    made.local_zone = zone_of_proxy(given, proxy);
+    made.local_zone = zone_index(zone_of_proxy(given, proxy));
     made.proxy_count = given.proxies.count;
     made.proxy_index = proxy;
     made.handshake_cost = given.prices.handshake;
     made.origin_fetch_cost = given.prices.origin;
     made.upstream_idle_timeout = given.fleet.idle;
     made.slow_start = given.cold.decides;
-    made.origin_kind = given.fleet.aside ? 1 : none;
+    made.origin_kind = given.fleet.aside ? kind_index(1) : none;
     made.constraints.may_cancel = given.proxies.cancel;
     made.constraints.may_check_health = given.proxies.probes;
     made.constraints.watch_required = true;
--- a/src/testbed/program/subset_table.cpp
+++ b/src/testbed/program/subset_table.cpp
@@ -28,7 +28,7 @@
 std::vector<coverage_endpoint> servers_of(const experiment &given, index count) {
     std::vector<coverage_endpoint> made;
     for (index i = 0; i < count; ++i)
-        made.push_back({server_id(i), 1, zone_of(given, i)});
+        made.push_back({server_id(i), 1, zone_index(zone_of(given, i))});
     return made;
 }
 
--- a/src/testbed/runs/baseline_policies.cpp
+++ b/src/testbed/runs/baseline_policies.cpp
@@ -36,9 +36,10 @@
             for (auto &each : servers_)
                 each.state = endpoint_state::removed;
         for (const auto &each : entries) {
-            if (each.endpoint >= servers_.size())
-                servers_.resize(each.endpoint + 1);
-            auto &to = servers_[each.endpoint];
+            const index position = each.endpoint.value();
+            if (position >= servers_.size())
+                servers_.resize(position + 1);
+            auto &to = servers_[position];
             to.id = each.id;
             to.state = each.state;
             to.cell = each.cell;
@@ -63,23 +64,25 @@
     }
 
     void on_request(double now, const request_info &from) override {
-        if (from.request >= queries_.size())
-            queries_.resize(from.request + 1);
-        auto &qry = queries_[from.request];
+        const index id = from.request.value();
+        if (id >= queries_.size())
+            queries_.resize(id + 1);
+        auto &qry = queries_[id];
         const auto generation = qry.generation + 1;
         qry = {};
         qry.generation = generation;
         qry.is = from;
         qry.live = true;
         qry.to_origin = from.is_write && given_.origin_kind != none;
-        due_.push({from.deadline - margin, from.request, generation});
-        place(now, from.request);
+        due_.push({from.deadline - margin, id, generation});
+        place(now, id);
     }
 
-    void on_attempt_finished(double now, index id, index number, outcome result, bool over, bool,
-                             const load_report &) override {
+    void on_attempt_finished(double now, request_index request, attempt_number number, outcome result,
+                             bool over, bool, const load_report &) override {
+        const index id = request.value();
         auto &qry = queries_[id];
-        if (!qry.live || number >= qry.sent || !qry.out)
+        if (!qry.live || number.value() >= qry.sent || !qry.out)
             return;
         qry.out = false;
         --servers_[qry.last].in_flight;
@@ -93,17 +96,18 @@
             return finish(id);
         place(now, id);
     }
-    void on_response_started(double, index, bool) override {}
-    void on_client_disconnected(double, index id) override {
+    void on_response_started(double, request_index, bool) override {}
+    void on_client_disconnected(double, request_index request) override {
+        const index id = request.value();
         queries_[id].answered = true;
         if (!queries_[id].out)
             release(id);
     }
-    void on_health_check_finished(double, index, bool, const load_report &) override {}
+    void on_health_check_finished(double, endpoint_index, bool, const load_report &) override {}
     void on_timer(double now) override {
         wake(now);
         if (now >= ask_at_) {
-            actions.push_back({action_kind::watch_endpoints});
+            actions.push_back({.kind = action_kind::watch_endpoints});
             ask_at_ = now + 4 * ask_gap;
         }
         while (!due_.empty() && due_.top().at <= now) {
@@ -119,7 +123,9 @@
     struct server {
         std::string id;
         endpoint_state state = endpoint_state::removed;
-        index cell = none, zone = none, in_flight = 0;
+        cell_index cell = none;
+        zone_index zone = none;
+        index in_flight = 0;
         bool is_origin = false;
     };
     struct query {
@@ -134,7 +140,7 @@
         bool operator<(const due &that) const { return at > that.at; }
     };
 
-    void wake(double now) { actions.push_back({action_kind::set_timer, none, none, 0, now + sweep}); }
+    void wake(double now) { actions.push_back({.kind = action_kind::set_timer, .time = now + sweep}); }
 
     void place(double now, index id) {
         auto &qry = queries_[id];
@@ -148,7 +154,9 @@
         qry.tried.push_back(to);
         ++servers_[to].in_flight;
         ++in_flight_;
-        actions.push_back({action_kind::start_attempt, id, to, 0, 0});
+        actions.push_back({.kind = action_kind::start_attempt,
+                           .request = request_index(id),
+                           .endpoint = endpoint_index(to)});
     }
 
     index choose(const query &qry) {
@@ -159,7 +167,7 @@
         if (by_ == decider::plain_ring) {
             const std::uint64_t key = qry.is.has_key ? ring_hash(std::to_string(qry.is.key))
                                                      : ring_hash(std::to_string(chance_.seed()));
-            auto at = std::upper_bound(ring_.begin(), ring_.end(), std::pair(key, none));
+            auto at = std::upper_bound(ring_.begin(), ring_.end(), std::pair(key, index{none}));
             std::vector<index> found;
             const auto wanted = std::min(walked, ready_.size());
             for (std::size_t seen = 0; seen < ring_.size() && found.size() < wanted; ++seen) {
@@ -198,8 +206,9 @@
     void finish(index id) {
         auto &qry = queries_[id];
         const bool rejects = !qry.out && !qry.doubt;
-        actions.push_back({rejects ? action_kind::reject_request : action_kind::fail_request, id, none, 0,
-                           rejects ? given_.constraints.max_retry_after : 0});
+        actions.push_back({.kind = rejects ? action_kind::reject_request : action_kind::fail_request,
+                           .request = request_index(id),
+                           .time = rejects ? given_.constraints.max_retry_after : 0});
         qry.answered = true;
         if (!qry.out)
             release(id);
@@ -207,7 +216,7 @@
 
     void release(index id) {
         queries_[id].live = false;
-        actions.push_back({action_kind::release_request, id, none, 0, 0});
+        actions.push_back({.kind = action_kind::release_request, .request = request_index(id)});
     }
 
     const decider by_;
--- a/src/testbed/runs/virtual_proxy.cpp
+++ b/src/testbed/runs/virtual_proxy.cpp
@@ -231,9 +231,9 @@
         of.live = true;
         of.serial = ++serial_;
         request_info made;
-        made.request = at;
-        made.class_id = query.use_case;
-        made.tenant = query.tenant;
+        made.request = request_index(at);
+        made.class_id = class_index(query.use_case);
+        made.tenant = tenant_index(query.tenant);
         made.has_key = query.keyed;
         made.is_write = query.write;
         made.key = query.key;
@@ -264,10 +264,11 @@
     end_out(of);
     if (was_out) {
         ++counts_.timed_out;
-        router_->on_client_disconnected(clock_.now(), query);
-        router_->on_attempt_finished(clock_.now(), query, of.sent - 1, outcome::canceled, true, false);
+        router_->on_client_disconnected(clock_.now(), request_index(query));
+        router_->on_attempt_finished(clock_.now(), request_index(query), attempt_number(of.sent - 1),
+                                     outcome::canceled, true, false);
     } else {
-        router_->on_client_disconnected(clock_.now(), query);
+        router_->on_client_disconnected(clock_.now(), request_index(query));
     }
     obey();
 }
@@ -278,7 +279,7 @@
             if (auto &of = held_[i]; of.live && of.is.op == op && of.is.attempt == attempt && !of.gone) {
                 of.gone = true;
                 if (!of.answered)
-                    router_->on_client_disconnected(clock_.now(), i);
+                    router_->on_client_disconnected(clock_.now(), request_index(i));
                 return obey();
             }
     });
@@ -290,15 +291,16 @@
         const action act = router_->actions[i];
         switch (act.kind) {
         case action_kind::start_attempt:
-            send(act.request, act.endpoint);
+            send(act.request.value(), act.endpoint.value());
             break;
         case action_kind::cancel_attempt:
-            if (auto &of = held_[act.request]; of.out_at != none && of.sent == act.attempt + 1) {
+            if (auto &of = held_[act.request.value()];
+                of.out_at != none && of.sent == act.attempt.value() + 1) {
                 ++counts_.called_off;
                 counts_.false_called_off += suspects(of.out_at);
-                const index number = act.attempt;
+                const index number = act.attempt.value();
                 const auto serial = of.serial;
-                clock_.after(0, [this, life = life_, query = act.request, number, serial] {
+                clock_.after(0, [this, life = life_, query = act.request.value(), number, serial] {
                     if (life == life_)
                         come(query, number, serial, outcome::canceled, false);
                 });
@@ -306,17 +308,17 @@
             break;
         case action_kind::reject_request:
             ++counts_.rejected;
-            answer(act.request, reply::rejected, act.time);
+            answer(act.request.value(), reply::rejected, act.time);
             break;
         case action_kind::fail_request:
             ++counts_.aborted;
-            answer(act.request, reply::aborted, 0);
+            answer(act.request.value(), reply::aborted, 0);
             break;
         case action_kind::release_request:
-            released_.push_back(act.request);
+            released_.push_back(act.request.value());
             break;
         case action_kind::check_health:
-            probe(act.endpoint);
+            probe(act.endpoint.value());
             break;
         case action_kind::set_timer:
             wake_at_ = act.time;
@@ -519,7 +521,8 @@
         ++counts_.completed;
         answer(query, reply::completed, 0);
     }
-    router_->on_attempt_finished(clock_.now(), query, number, result, completed, fetched);
+    router_->on_attempt_finished(clock_.now(), request_index(query), attempt_number(number), result,
+                                 completed, fetched);
     obey();
 }
 
@@ -535,7 +538,8 @@
         clock_.after(0, [this, life = life_, query, number = of.sent - 1, serial = of.serial] {
             if (life != life_ || !held_[query].live || held_[query].serial != serial)
                 return;
-            router_->on_attempt_finished(clock_.now(), query, number, outcome::canceled, true, false);
+            router_->on_attempt_finished(clock_.now(), request_index(query), attempt_number(number),
+                                         outcome::canceled, true, false);
             obey();
         });
     }
@@ -570,7 +574,7 @@
             if (life != life_)
                 return;
             counts_.probes_failed += !answered;
-            router_->on_health_check_finished(clock_.now(), server, answered);
+            router_->on_health_check_finished(clock_.now(), endpoint_index(server), answered);
             obey();
         });
     };
@@ -790,12 +794,12 @@
                 judge_.told(number_, each.server, endpoint_state::removed);
     for (const auto &each : members) {
         endpoint_info made;
-        made.endpoint = each.server;
+        made.endpoint = endpoint_index(each.server);
         made.id = ids_[each.server];
         made.started_at = each.started;
-        made.kind = each.server == servers_.size() ? 1 : 0;
-        made.zone = zone_of(given_, each.server);
-        made.cell = each.server;
+        made.kind = kind_index(each.server == servers_.size() ? 1 : 0);
+        made.zone = zone_index(zone_of(given_, each.server));
+        made.cell = cell_index(each.server);
         made.state = each.state;
         entries.push_back(made);
         listed_[each.server] = each.state;
--- a/tests/proxy/endpoint_list_test.cpp
+++ b/tests/proxy/endpoint_list_test.cpp
@@ -23,9 +23,9 @@
     list.revision = 18446744073709551615U;
     list.is_snapshot = true;
     list.items = {{"a\\\"\n", "127.0.0.1:80", {}}, {"b", "[::1]:81", {}}};
-    list.items[0].info.zone = 1;
-    list.items[0].info.kind = 0;
-    list.items[0].info.cell = 7;
+    list.items[0].info.zone = zone_index(1);
+    list.items[0].info.kind = kind_index(0);
+    list.items[0].info.cell = cell_index(7);
     list.items[0].info.weight = 0.1;
     list.items[0].info.started_at = 1785000000.125;
     list.items[1].info.state = endpoint_state::draining;
--- a/tests/proxy/endpoint_registry_test.cpp
+++ b/tests/proxy/endpoint_registry_test.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 // The lifetimes of slots: who holds one, and when it is free for another endpoint.
 #include "proxy/discovery/endpoint_registry.hpp"
+#include "support/index_literals.hpp"
 
 #include <doctest/doctest.h>
 #include <set>
@@ -9,11 +10,11 @@
 namespace {
 
 struct registry_fixture {
-    std::set<index> referenced;
-    endpoint_registry registry{[this](index slot) { return referenced.contains(slot); }};
+    std::set<endpoint_index> referenced;
+    endpoint_registry registry{[this](endpoint_index slot) { return referenced.contains(slot); }};
 
     // Applies a list as the discovery client does; returns the slots that it retired.
-    std::vector<index> apply(const endpoint_list &list) {
+    std::vector<endpoint_index> apply(const endpoint_list &list) {
         if (list.is_snapshot)
             registry.clear_listed();
         for (const auto &each : list.items) {
@@ -29,10 +30,10 @@
         }
         return registry.retire_missing(list, list.is_snapshot);
     }
-    std::vector<index> apply_snapshot(const std::vector<std::string> &ids) {
+    std::vector<endpoint_index> apply_snapshot(const std::vector<std::string> &ids) {
         return apply(list_of(ids, endpoint_state::ready, true));
     }
-    std::vector<index> apply_delta(const std::vector<std::string> &ids, endpoint_state state) {
+    std::vector<endpoint_index> apply_delta(const std::vector<std::string> &ids, endpoint_state state) {
         return apply(list_of(ids, state, false));
     }
     static endpoint_list list_of(const std::vector<std::string> &ids, endpoint_state state,
@@ -52,11 +53,11 @@
 TEST_CASE("endpoint registry: an endpoint keeps its slot for as long as it is listed") {
     registry_fixture fixture;
     CHECK(fixture.apply_snapshot({"a", "b"}).empty());
-    CHECK(fixture.registry.slot_of("a") == 0);
-    CHECK(fixture.registry.slot_of("b") == 1);
+    CHECK(fixture.registry.slot_of("a") == 0_endpoint);
+    CHECK(fixture.registry.slot_of("b") == 1_endpoint);
     CHECK(fixture.apply_delta({"c"}, endpoint_state::ready).empty());
     CHECK(fixture.apply_delta({"a"}, endpoint_state::draining).empty());
-    CHECK(fixture.registry.slot_of("a") == 0);
+    CHECK(fixture.registry.slot_of("a") == 0_endpoint);
     CHECK(fixture.registry.listed().at("a").info.state == endpoint_state::draining);
     CHECK(fixture.registry.listed().size() == 3);
     CHECK(fixture.registry.slot_count() == 3);
@@ -66,15 +67,15 @@
 TEST_CASE("endpoint registry: a retired slot goes to another endpoint once nothing refers to it") {
     registry_fixture fixture;
     fixture.apply_snapshot({"a", "b"});
-    fixture.referenced = {0};
-    CHECK(fixture.apply_snapshot({"b"}) == std::vector<index>{0});
-    CHECK(fixture.registry.slot_of("a") == 0); // until another endpoint has it
+    fixture.referenced = {0_endpoint};
+    CHECK(fixture.apply_snapshot({"b"}) == std::vector{0_endpoint});
+    CHECK(fixture.registry.slot_of("a") == 0_endpoint); // until another endpoint has it
     CHECK_FALSE(fixture.registry.listed().contains("a"));
     fixture.apply_snapshot({"b", "c"});
-    CHECK(fixture.registry.slot_of("c") == 2);
+    CHECK(fixture.registry.slot_of("c") == 2_endpoint);
     fixture.referenced.clear();
     fixture.apply_snapshot({"b", "c", "d"});
-    CHECK(fixture.registry.slot_of("d") == 0);
+    CHECK(fixture.registry.slot_of("d") == 0_endpoint);
     CHECK_FALSE(fixture.registry.slot_of("a"));
     CHECK(fixture.registry.slot_count() == 3);
 }
@@ -82,10 +83,10 @@
 TEST_CASE("endpoint registry: an endpoint that returns has its retired slot again") {
     registry_fixture fixture;
     fixture.apply_snapshot({"a", "b"});
-    CHECK(fixture.apply_delta({"a"}, endpoint_state::removed) == std::vector<index>{0});
+    CHECK(fixture.apply_delta({"a"}, endpoint_state::removed) == std::vector{0_endpoint});
     fixture.apply_delta({"a", "c"}, endpoint_state::ready);
-    CHECK(fixture.registry.slot_of("a") == 0);
-    CHECK(fixture.registry.slot_of("c") == 2);
+    CHECK(fixture.registry.slot_of("a") == 0_endpoint);
+    CHECK(fixture.registry.slot_of("c") == 2_endpoint);
 }
 
 TEST_CASE("endpoint registry: an endpoint that was never listed has no slot to retire") {
@@ -98,20 +99,20 @@
 TEST_CASE("endpoint registry: a slot is retired once, though a list removes its endpoint twice") {
     registry_fixture fixture;
     fixture.apply_snapshot({"a", "b"});
-    CHECK(fixture.apply_delta({"b", "b"}, endpoint_state::removed) == std::vector<index>{1});
+    CHECK(fixture.apply_delta({"b", "b"}, endpoint_state::removed) == std::vector{1_endpoint});
     // Each new endpoint has a slot of its own.
     fixture.apply_delta({"c", "d"}, endpoint_state::ready);
-    CHECK(fixture.registry.slot_of("c") == 1);
-    CHECK(fixture.registry.slot_of("d") == 2);
+    CHECK(fixture.registry.slot_of("c") == 1_endpoint);
+    CHECK(fixture.registry.slot_of("d") == 2_endpoint);
 
     // A snapshot that names a removed endpoint as such.
     auto snapshot = registry_fixture::list_of({"a", "c"}, endpoint_state::ready, true);
     snapshot.items.push_back({"d", "127.0.0.1:1", {}});
     snapshot.items.back().info.state = endpoint_state::removed;
-    CHECK(fixture.apply(snapshot) == std::vector<index>{2});
+    CHECK(fixture.apply(snapshot) == std::vector{2_endpoint});
     fixture.apply_delta({"e", "f"}, endpoint_state::ready);
-    CHECK(fixture.registry.slot_of("e") == 2);
-    CHECK(fixture.registry.slot_of("f") == 3);
+    CHECK(fixture.registry.slot_of("e") == 2_endpoint);
+    CHECK(fixture.registry.slot_of("f") == 3_endpoint);
 }
 
 } // namespace harrierpass::proxy
--- a/tests/proxy/operators_test.cpp
+++ b/tests/proxy/operators_test.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 // The operators' parts: their door, its figures, servers out by hand, clients sent away.
+#include "support/index_literals.hpp"
 #include "support/stand.hpp"
 
 #include <random>
@@ -150,7 +151,7 @@
 TEST_CASE("a probe that meets a ban") {
     stand with({.starts = false});
     dispatcher decides(std::make_shared<const configuration>(read_configuration(with.config)));
-    decides.on_check_health = [](index) {};
+    decides.on_check_health = [](endpoint_index) {};
     decides.on_watch_endpoints = [] {};
     counters count;
     std::ostringstream lines;
@@ -158,15 +159,15 @@
     buffer_pool buffers;
     upstream_pool servers(5, 1, 100, count, log_to);
     const full_server late;
-    servers.set_endpoint(0, "s0", late.at(), 0, decides.now());
+    servers.set_endpoint(0_endpoint, "s0", late.at(), 0, decides.now());
     {
         health_checker probes(decides, servers, buffers, count);
         decides.endpoints_updated(endpoint_update_kind::snapshot,
-                                  {{endpoint_info{.endpoint = 0, .id = "s0"}}});
-        probes.start(0);
+                                  {{endpoint_info{.endpoint = 0_endpoint, .id = "s0"}}});
+        probes.start(0_endpoint);
         while (count.of(counter::upstream_connects) == 0)
             std::this_thread::yield();
-        servers.set_disabled(0, true);
+        servers.set_disabled(0_endpoint, true);
         const tcp_socket probe = late.make_room();
         char byte;
         CHECK(::recv(probe.get(), &byte, 1, 0) == 0); // ended, and nothing was written
--- a/tests/proxy/proxy_test.cpp
+++ b/tests/proxy/proxy_test.cpp
@@ -5,6 +5,7 @@
 #include "net/http.hpp"
 #include "proxy/service.hpp"
 #include "settings/settings_reader.hpp"
+#include "support/index_literals.hpp"
 
 #include <atomic>
 #include <doctest/doctest.h>
@@ -441,20 +442,20 @@
     counters counted;
     log to(lines, log_level::info);
     upstream_pool servers(0.25, 5, 6, counted, to);
-    servers.set_endpoint(0, "s0", server.at(), 0, 0);
-    servers.set_endpoint(1, "s1", server.at(), 0, 0);
+    servers.set_endpoint(0_endpoint, "s0", server.at(), 0, 0);
+    servers.set_endpoint(1_endpoint, "s1", server.at(), 0, 0);
     std::list<upstream_connection> in_use;
     for (index i = 0; i < 4; ++i)
-        in_use.push_back(servers.acquire(0, 1));
+        in_use.push_back(servers.acquire(0_endpoint, 1));
     for (auto &each : in_use)
         servers.release(std::move(each), 1);
     servers.reserve_for_clients(1, 1);
-    auto other = servers.acquire(1, 1); // the sixth descriptor
+    auto other = servers.acquire(1_endpoint, 1); // the sixth descriptor
     CHECK(other.socket);
     CHECK(lines.str().empty());
     servers.reserve_for_clients(2, 1);
     CHECK(lines.str().find("server=s0 executions=0 open=0 rested=0 reason=reclaimed") != std::string::npos);
-    CHECK(servers.acquire(0, 1).socket); // a kept one
+    CHECK(servers.acquire(0_endpoint, 1).socket); // a kept one
     CHECK(counted.of(counter::upstream_connects) == 5);
 }
 
@@ -466,16 +467,16 @@
     counters counted;
     log to(lines, log_level::info);
     upstream_pool servers(0.25, 5, 6, counted, to);
-    servers.set_endpoint(0, "s0", server.at(), 0, 0);
-    auto first = servers.acquire(0, 1), second = servers.acquire(0, 1);
+    servers.set_endpoint(0_endpoint, "s0", server.at(), 0, 0);
+    auto first = servers.acquire(0_endpoint, 1), second = servers.acquire(0_endpoint, 1);
     const int older = first.socket.get(), latest = second.socket.get();
     servers.release(std::move(first), 1);
     servers.release(std::move(second), 1.1);
-    auto used = servers.acquire(0, 1.101);
+    auto used = servers.acquire(0_endpoint, 1.101);
     CHECK(used.socket.get() == older);
     servers.release(std::move(used), 1.102);
-    CHECK(servers.acquire(0, 1.2).socket.get() == older); // both have rested: the latest
-    CHECK(servers.acquire(0, 1.2).socket.get() == latest);
+    CHECK(servers.acquire(0_endpoint, 1.2).socket.get() == older); // both have rested: the latest
+    CHECK(servers.acquire(0_endpoint, 1.2).socket.get() == latest);
     CHECK(counted.of(counter::upstream_connects) == 2);
 }
 
@@ -825,7 +826,7 @@
     const auto old = std::make_shared<const configuration>(read_configuration(with.config));
     const auto next = std::make_shared<const configuration>(read_configuration(with.config));
     dispatcher decides(old);
-    decides.on_check_health = [](index) {};
+    decides.on_check_health = [](endpoint_index) {};
     decides.on_watch_endpoints = [] {};
     request_info made;
     made.deadline = decides.now() + 100;
--- a/tests/router/candidate_selection_test.cpp
+++ b/tests/router/candidate_selection_test.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "router/candidate_selection.hpp"
+#include "support/index_literals.hpp"
 
 #include <algorithm>
 #include <array>
@@ -16,7 +17,7 @@
     router_settings made;
     made.request_classes.push_back({effect_kind::idempotent, deduplication_scope::all, 0, 1, 1, 0});
     made.constraints.max_attempts = 3;
-    made.origin_kind = 1;
+    made.origin_kind = 1_kind;
     return made;
 }
 
@@ -24,11 +25,11 @@
 struct fixture {
     explicit fixture(const router_settings &given, bool has_origin = false) : fleet(given) {
         std::vector<endpoint_info> entries(names.size());
-        for (endpoint_index endpoint = 0; endpoint < names.size(); ++endpoint) {
-            entries[endpoint].endpoint = endpoint;
-            entries[endpoint].id = names[endpoint];
-            entries[endpoint].zone = endpoint % 2;
-            entries[endpoint].kind = has_origin && endpoint + 1 == names.size() ? 1 : 0;
+        for (index i = 0; i < names.size(); ++i) {
+            entries[i].endpoint = endpoint_index(i);
+            entries[i].id = names[i];
+            entries[i].zone = zone_index(i % 2);
+            entries[i].kind = has_origin && i + 1 == names.size() ? 1_kind : 0_kind;
         }
         CHECK(fleet.update(endpoint_update_kind::snapshot, entries, 100).empty());
         retries.configure(given.constraints, 0.1);
@@ -78,17 +79,17 @@
 
 TEST_CASE("candidate selection: where zones are costly, local candidates go first") {
     auto given = settings();
-    given.local_zone = 1;
+    given.local_zone = 1_zone;
     given.cross_zone_cost = 0.2;
     given.origin_fetch_cost = 0.1;
     const fixture made(given);
     for (std::uint64_t key = 0; key < 100; ++key)
-        CHECK(made.selector.select_endpoint(request_for(key), 100).endpoint % 2 == 1);
+        CHECK(made.selector.select_endpoint(request_for(key), 100).endpoint.value() % 2 == 1);
     given.origin_fetch_cost = 0.3; // a fetch costs more than another zone
     const fixture indifferent(given);
     int local = 0;
     for (std::uint64_t key = 0; key < 100; ++key)
-        local += indifferent.selector.select_endpoint(request_for(key), 100).endpoint % 2 == 1;
+        local += indifferent.selector.select_endpoint(request_for(key), 100).endpoint.value() % 2 == 1;
     CHECK(local < 80);
 }
 
@@ -122,7 +123,7 @@
     const fixture made(given);
     auto request = request_for(1);
     request.class_settings.effect = effect_kind::non_idempotent;
-    request.attempts.push_back({0, 100}); // possibly executed
+    request.attempts.push_back({0_endpoint, 100}); // possibly executed
     CHECK(made.selector.select_endpoint(request, 100).result == selection_result::not_servable);
 }
 
@@ -130,9 +131,9 @@
     const fixture made(settings(), true);
     auto request = request_for(1);
     for (const auto endpoint : made.selector.ring_candidates(request, 100))
-        CHECK(endpoint != 5);
+        CHECK(endpoint != 5_endpoint);
     request.uses_origin = true;
-    CHECK(made.selector.select_endpoint(request, 100).endpoint == 5);
+    CHECK(made.selector.select_endpoint(request, 100).endpoint == 5_endpoint);
     const fixture without(settings());
     CHECK(without.selector.select_endpoint(request, 100).result == selection_result::no_capacity);
 }
--- a/tests/router/concurrency_limits_test.cpp
+++ b/tests/router/concurrency_limits_test.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "router/concurrency_limits.hpp"
+#include "support/index_literals.hpp"
 
 #include <doctest/doctest.h>
 
@@ -99,14 +100,14 @@
 TEST_CASE("concurrency limits: a far zone's network latency is no load") {
     concurrency_limits plain(1, 0.1), zoned(1, 0.1);
     plain.configure(1, none);
-    zoned.configure(1, 0);
+    zoned.configure(1, 0_zone);
     for (auto *limits : {&plain, &zoned}) {
         limits->set_warm_endpoints(4);
         for (double now = 1; now < 60; ++now) {
-            limits->record_fleet_sample({now - 0.01, 0.01, false, 4}, 0, false, now);
-            limits->record_fleet_sample({now - 1, 1, false, 4}, 1, false, now);
-            limits->record_fleet_sample({now - 1, 1, false, 4}, 1, false, now);
-            limits->record_fleet_sample({now - 1, 1, false, 4}, 1, false, now);
+            limits->record_fleet_sample({now - 0.01, 0.01, false, 4}, 0_zone, false, now);
+            limits->record_fleet_sample({now - 1, 1, false, 4}, 1_zone, false, now);
+            limits->record_fleet_sample({now - 1, 1, false, 4}, 1_zone, false, now);
+            limits->record_fleet_sample({now - 1, 1, false, 4}, 1_zone, false, now);
         }
         limits->set_warm_endpoints(4);
     }
--- a/tests/router/endpoint_table_test.cpp
+++ b/tests/router/endpoint_table_test.cpp
@@ -1,14 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "router/endpoint_table.hpp"
+#include "support/index_literals.hpp"
 
 #include <doctest/doctest.h>
 
 namespace harrierpass {
 namespace {
 
-constexpr index cache_kind = 0, origin_kind = 1;
+constexpr kind_index cache_kind = 0_kind, origin_kind = 1_kind;
 
-void place(endpoint_table &table, endpoint_index endpoint, index kind) {
+void place(endpoint_table &table, endpoint_index endpoint, kind_index kind) {
     endpoint_info entry;
     entry.endpoint = endpoint;
     entry.id = "e";
@@ -23,29 +24,29 @@
 
 TEST_CASE("endpoint table: a new record has its id, its limit and no silence") {
     endpoint_table table;
-    place(table, 2, cache_kind);
-    CHECK(table.size() == 3);
-    CHECK(table[2].id == "e");
-    CHECK(table[2].limit.limit() == 8);
-    table[2].silence.advance(1, 6);
-    CHECK(table[2].silence.time() == 1);
-    CHECK(table[0].id.empty());
+    place(table, 2_endpoint, cache_kind);
+    CHECK(table.end_index() == 3_endpoint);
+    CHECK(table[2_endpoint].id == "e");
+    CHECK(table[2_endpoint].limit.limit() == 8);
+    table[2_endpoint].silence.advance(1, 6);
+    CHECK(table[2_endpoint].silence.time() == 1);
+    CHECK(table[0_endpoint].id.empty());
 }
 
 TEST_CASE("endpoint table: the origin is the listed endpoint of its kind") {
     endpoint_table table;
-    place(table, 0, cache_kind);
-    place(table, 1, origin_kind);
+    place(table, 0_endpoint, cache_kind);
+    place(table, 1_endpoint, origin_kind);
     table.update_origin();
     CHECK(table.origin() == none); // no kind is the origin's
     table.set_origin_kind(origin_kind);
     table.update_origin();
-    CHECK(table.origin() == 1);
-    CHECK(table.ready_cache_endpoints() == std::vector<endpoint_index>{0});
-    place(table, 2, origin_kind);
-    table[1].info.state = endpoint_state::removed;
+    CHECK(table.origin() == 1_endpoint);
+    CHECK(table.ready_cache_endpoints() == std::vector{0_endpoint});
+    place(table, 2_endpoint, origin_kind);
+    table[1_endpoint].info.state = endpoint_state::removed;
     table.update_origin();
-    CHECK(table.origin() == 2);
+    CHECK(table.origin() == 2_endpoint);
     table.set_origin_kind(none);
     table.update_origin();
     CHECK(table.origin() == none);
@@ -53,34 +54,34 @@
 
 TEST_CASE("endpoint table: attempts in flight count once, and the origin's not for the fleet") {
     endpoint_table table;
-    place(table, 0, cache_kind);
-    place(table, 1, origin_kind);
+    place(table, 0_endpoint, cache_kind);
+    place(table, 1_endpoint, origin_kind);
     table.set_origin_kind(origin_kind);
     table.update_origin();
-    attempt_record one = {0, 5}, other = {1, 5};
+    attempt_record one = {0_endpoint, 5}, other = {1_endpoint, 5};
     table.count_in_flight(one, true, 5);
     table.count_in_flight(one, true, 6);
     table.count_in_flight(other, true, 6);
-    CHECK(table[0].in_flight == 1);
-    CHECK(table[1].in_flight == 1);
+    CHECK(table[0_endpoint].in_flight == 1);
+    CHECK(table[1_endpoint].in_flight == 1);
     CHECK(table.fleet_in_flight() == 1);
     table.set_origin_kind(none);
     table.update_origin();
     CHECK(table.fleet_in_flight() == 2);
     table.count_in_flight(one, false, 8);
     table.count_in_flight(one, false, 9);
-    CHECK(table[0].in_flight == 0);
+    CHECK(table[0_endpoint].in_flight == 0);
     CHECK(table.fleet_in_flight() == 1);
-    CHECK(table[0].silence.time() == 3);
+    CHECK(table[0_endpoint].silence.time() == 3);
 }
 
 TEST_CASE("endpoint table: what a snapshot leaves out is removed") {
     endpoint_table table;
-    place(table, 0, cache_kind);
-    place(table, 1, cache_kind);
+    place(table, 0_endpoint, cache_kind);
+    place(table, 1_endpoint, cache_kind);
     table.mark_all_removed();
-    table[1].info.state = endpoint_state::ready;
-    CHECK(table.ready_cache_endpoints() == std::vector<endpoint_index>{1});
+    table[1_endpoint].info.state = endpoint_state::ready;
+    CHECK(table.ready_cache_endpoints() == std::vector{1_endpoint});
 }
 
 } // namespace harrierpass
--- a/tests/router/hash_ring_test.cpp
+++ b/tests/router/hash_ring_test.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "router/hash_ring.hpp"
 #include "router/router.hpp"
+#include "support/index_literals.hpp"
 
 #include <doctest/doctest.h>
 #include <set>
@@ -38,7 +39,7 @@
     std::set<std::uint64_t> positions;
     int wraps = 0;
     for (std::size_t i = 0; i < points.size(); ++i) {
-        CHECK(points[i].endpoint != 1);
+        CHECK(points[i].endpoint != 1_endpoint);
         positions.insert(points[i].position);
         wraps += i > 0 && points[i].position > points[i - 1].position;
     }
@@ -76,8 +77,8 @@
     hash_ring ring, expected;
     ring.update(std::vector<ring_member>{{"old", 5}});
     ring.update(std::vector<ring_member>{{"old", 0}});
-    ring.reset(0);
-    ring.reset(9); // not known yet
+    ring.reset(0_endpoint);
+    ring.reset(9_endpoint); // not known yet
     ring.update(std::vector<ring_member>{{"new", 5}});
     expected.update(std::vector<ring_member>{{"new", 5}});
     CHECK(points_from(ring, 0).front().position == points_from(expected, 0).front().position);
--- a/tests/router/origin_protection_test.cpp
+++ b/tests/router/origin_protection_test.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "router/origin_protection.hpp"
+#include "support/index_literals.hpp"
 
 #include <doctest/doctest.h>
 
@@ -8,14 +9,14 @@
 TEST_CASE("origin protection: a key has one leader until its fetch ends") {
     fetch_coalescer fetches;
     CHECK(!fetches.is_in_progress(7));
-    CHECK(fetches.begin(7, 1));
+    CHECK(fetches.begin(7, 1_request));
     CHECK(fetches.is_in_progress(7));
-    CHECK(!fetches.begin(7, 2));
-    CHECK(fetches.begin(8, 2));
+    CHECK(!fetches.begin(7, 2_request));
+    CHECK(fetches.begin(8, 2_request));
     fetches.end(7);
     CHECK(!fetches.is_in_progress(7));
     CHECK(fetches.is_in_progress(8));
-    CHECK(fetches.begin(7, 2));
+    CHECK(fetches.begin(7, 2_request));
 }
 
 TEST_CASE("origin protection: the backoff doubles with each refusal up to a second") {
--- a/tests/router/quota_test.cpp
+++ b/tests/router/quota_test.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "router/quota.hpp"
+#include "support/index_literals.hpp"
 
 #include <array>
 #include <doctest/doctest.h>
@@ -19,32 +20,32 @@
 TEST_CASE("quota: a bucket starts full and fills at the proxy's part of the rate") {
     tenant_quotas quotas;
     quotas.configure(std::array{40.0}, 2, 100);
-    CHECK(accepted(quotas, 0, 100, 50) == 20);
-    CHECK(accepted(quotas, 0, 100.25, 50) == 5);
-    CHECK(accepted(quotas, 0, 200, 50) == 20);
+    CHECK(accepted(quotas, 0_tenant, 100, 50) == 20);
+    CHECK(accepted(quotas, 0_tenant, 100.25, 50) == 5);
+    CHECK(accepted(quotas, 0_tenant, 200, 50) == 20);
 }
 
 TEST_CASE("quota: a small part of a rate still allows a burst") {
     tenant_quotas quotas;
     quotas.configure(std::array{2.0}, 4, 0);
-    CHECK(accepted(quotas, 0, 0, 50) == 8);
-    CHECK(accepted(quotas, 0, 2, 50) == 1);
+    CHECK(accepted(quotas, 0_tenant, 0, 50) == 8);
+    CHECK(accepted(quotas, 0_tenant, 2, 50) == 1);
 }
 
 TEST_CASE("quota: tenants without a rate or a bucket have no limit") {
     tenant_quotas quotas;
     quotas.configure(std::array{0.0}, 1, 0);
-    CHECK(accepted(quotas, 0, 0, 100) == 100);
-    CHECK(accepted(quotas, 7, 0, 100) == 100);
+    CHECK(accepted(quotas, 0_tenant, 0, 100) == 100);
+    CHECK(accepted(quotas, 7_tenant, 0, 100) == 100);
 }
 
 TEST_CASE("quota: tenants do not share buckets, and new settings fill them") {
     tenant_quotas quotas;
     quotas.configure(std::array{10.0, 10.0}, 1, 0);
-    CHECK(accepted(quotas, 0, 0, 50) == 10);
-    CHECK(accepted(quotas, 1, 0, 50) == 10);
+    CHECK(accepted(quotas, 0_tenant, 0, 50) == 10);
+    CHECK(accepted(quotas, 1_tenant, 0, 50) == 10);
     quotas.configure(std::array{10.0, 10.0}, 1, 0);
-    CHECK(accepted(quotas, 0, 0, 50) == 10);
+    CHECK(accepted(quotas, 0_tenant, 0, 50) == 10);
 }
 
 } // namespace harrierpass
--- a/tests/router/retry_policy_test.cpp
+++ b/tests/router/retry_policy_test.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "router/retry_policy.hpp"
+#include "support/index_literals.hpp"
 
 #include <cmath>
 #include <doctest/doctest.h>
@@ -22,10 +23,10 @@
 // Endpoints 0 and 1 in one cell, 2 in another one of their zone, 3 in another zone.
 endpoint_table endpoints() {
     endpoint_table made;
-    made.at_or_new(3);
-    for (endpoint_index endpoint = 0; endpoint < 4; ++endpoint) {
-        made[endpoint].info.zone = endpoint == 3 ? 1 : 0;
-        made[endpoint].info.cell = endpoint < 2 ? 0 : endpoint;
+    made.at_or_new(3_endpoint);
+    for (endpoint_index endpoint{0}; endpoint < 4_endpoint; ++endpoint) {
+        made[endpoint].info.zone = endpoint == 3_endpoint ? 1_zone : 0_zone;
+        made[endpoint].info.cell = endpoint < 2_endpoint ? 0_cell : cell_index(endpoint.value());
     }
     return made;
 }
@@ -37,7 +38,7 @@
     made.class_settings.scope = scope;
     made.class_settings.deduplication_window = 5;
     made.deadline = 100;
-    made.attempts.push_back({0, 10});
+    made.attempts.push_back({0_endpoint, 10});
     made.attempts.back().is_open = false;
     made.attempts.back().result = result;
     return made;
@@ -49,11 +50,11 @@
     const auto policy = configured();
     const auto table = endpoints();
     const auto harmless = sent(effect_kind::idempotent, deduplication_scope::cell, outcome::reset);
-    CHECK(std::isinf(policy.dispatch_deadline(harmless, 1, table, 3)));
+    CHECK(std::isinf(policy.dispatch_deadline(harmless, 1, table, 3_endpoint)));
     CHECK(std::isinf(policy.client_retry_deadline(harmless)));
     for (const auto result : {outcome::connect_error, outcome::overloaded, outcome::discarded_unread}) {
         const auto request = sent(effect_kind::non_idempotent, deduplication_scope::cell, result);
-        CHECK(std::isinf(policy.dispatch_deadline(request, 1, table, 3)));
+        CHECK(std::isinf(policy.dispatch_deadline(request, 1, table, 3_endpoint)));
         CHECK(std::isinf(policy.client_retry_deadline(request)));
     }
 }
@@ -61,14 +62,14 @@
 TEST_CASE("retry policy: a non-idempotent request that was possibly executed is never sent again") {
     const auto policy = configured();
     auto request = sent(effect_kind::non_idempotent, deduplication_scope::all, outcome::reset);
-    CHECK(policy.dispatch_deadline(request, 1, endpoints(), 0) == 0);
+    CHECK(policy.dispatch_deadline(request, 1, endpoints(), 0_endpoint) == 0);
     CHECK(policy.client_retry_deadline(request) == 0);
     CHECK(!retry_policy::allows_retry(request));
     CHECK(!policy.allows_cancel(request, 20));
     request.attempts.back().result = outcome::overloaded;
     request.attempts.back().is_open = true; // it may yet be executed
-    CHECK(policy.dispatch_deadline(request, 1, endpoints(), 0) == 0);
-    CHECK(std::isinf(policy.dispatch_deadline(request, 0, endpoints(), 0)));
+    CHECK(policy.dispatch_deadline(request, 1, endpoints(), 0_endpoint) == 0);
+    CHECK(std::isinf(policy.dispatch_deadline(request, 0, endpoints(), 0_endpoint)));
 }
 
 TEST_CASE("retry policy: a deduplicated request may be sent again within its scope and window") {
@@ -76,24 +77,24 @@
     const auto table = endpoints();
     const double end = 10 + 5 - margin;
     const auto in_cell = sent(effect_kind::deduplicated, deduplication_scope::cell, outcome::reset);
-    CHECK(policy.dispatch_deadline(in_cell, 1, table, 1) == end);
-    CHECK(policy.dispatch_deadline(in_cell, 1, table, 2) == 0);
+    CHECK(policy.dispatch_deadline(in_cell, 1, table, 1_endpoint) == end);
+    CHECK(policy.dispatch_deadline(in_cell, 1, table, 2_endpoint) == 0);
     CHECK(policy.client_retry_deadline(in_cell) == 0);
     const auto in_zone = sent(effect_kind::deduplicated, deduplication_scope::zone, outcome::reset);
-    CHECK(policy.dispatch_deadline(in_zone, 1, table, 2) == end);
-    CHECK(policy.dispatch_deadline(in_zone, 1, table, 3) == 0);
+    CHECK(policy.dispatch_deadline(in_zone, 1, table, 2_endpoint) == end);
+    CHECK(policy.dispatch_deadline(in_zone, 1, table, 3_endpoint) == 0);
     CHECK(policy.client_retry_deadline(in_zone) == 0);
     const auto anywhere = sent(effect_kind::deduplicated, deduplication_scope::all, outcome::reset);
-    CHECK(policy.dispatch_deadline(anywhere, 1, table, 3) == end);
+    CHECK(policy.dispatch_deadline(anywhere, 1, table, 3_endpoint) == end);
     CHECK(policy.client_retry_deadline(anywhere) == end);
 }
 
 TEST_CASE("retry policy: the window starts with the first attempt that was possibly executed") {
     const auto policy = configured();
     auto request = sent(effect_kind::deduplicated, deduplication_scope::all, outcome::overloaded);
-    request.attempts.push_back({1, 12});
-    request.attempts.push_back({2, 14});
-    CHECK(policy.dispatch_deadline(request, 3, endpoints(), 3) == 12 + 5 - margin);
+    request.attempts.push_back({1_endpoint, 12});
+    request.attempts.push_back({2_endpoint, 14});
+    CHECK(policy.dispatch_deadline(request, 3, endpoints(), 3_endpoint) == 12 + 5 - margin);
 }
 
 TEST_CASE("retry policy: reads from the origin are not retried, writes are") {
@@ -115,7 +116,7 @@
     CHECK(!policy.has_attempts_for_fetch(request));
     CHECK(configured(3).has_attempts_for_fetch(request));
     CHECK(!configured(1).is_last_retry(request_record{}));
-    request.attempts.push_back({1, 11});
+    request.attempts.push_back({1_endpoint, 11});
     CHECK(policy.is_exhausted(request, 99));
     CHECK(!policy.allows_cancel(request, 99));
 }
--- a/tests/router/router_test.cpp
+++ b/tests/router/router_test.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include "support/helpers.hpp"
+#include "support/index_literals.hpp"
 
 #include <cstdio>
 #include <doctest/doctest.h>
@@ -36,22 +37,22 @@
     void list(double now, endpoint_update_kind kind, index count, double started = 0) {
         std::vector<endpoint_info> entries(count);
         for (index i = 0; i < count; ++i) {
-            entries[i].endpoint = i;
+            entries[i].endpoint = endpoint_index(i);
             entries[i].id = names[i];
             entries[i].started_at = started;
         }
         route->on_endpoints_updated(now, kind, entries);
     }
     index ask(double now, std::uint64_t key) { // where a query goes, and it is answered; 10: nowhere
-        request_info made{0, 0, 0, true, false, key, now + 100};
+        request_info made{0_request, 0_class, 0_tenant, true, false, key, now + 100};
         route->actions.clear();
         route->on_request(now, made);
         if (route->actions.empty()) { // held
-            route->on_client_disconnected(now, 0);
+            route->on_client_disconnected(now, 0_request);
             return 10;
         }
-        route->on_attempt_finished(now + 0.01, 0, 0, outcome::completed, true, false);
-        return route->actions.at(0).endpoint;
+        route->on_attempt_finished(now + 0.01, 0_request, 0_attempt, outcome::completed, true, false);
+        return route->actions.at(0).endpoint.value();
     }
     const std::array<std::string, 10> names = {"s0", "s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8", "s9"};
     std::unique_ptr<router> route;
@@ -65,17 +66,17 @@
     given.constraints.may_cancel = true;
     given.constraints.max_attempts = 3;
     const auto route = make_router(given, 1, 0);
-    const std::array<endpoint_info, 2> both = {{{0, "a"}, {1, "b"}}};
+    const std::array<endpoint_info, 2> both = {{{0_endpoint, "a"}, {1_endpoint, "b"}}};
     route->on_endpoints_updated(0, endpoint_update_kind::snapshot, both);
     double now = 0.01;
     for (std::uint64_t key = 0; key < 200; ++key, now += 0.0002) {
-        route->on_request(now, {0, 0, 0, true, false, key, now + 9});
-        route->on_attempt_finished(now + 0.0001, 0, 0, outcome::completed, true, false);
+        route->on_request(now, {0_request, 0_class, 0_tenant, true, false, key, now + 9});
+        route->on_attempt_finished(now + 0.0001, 0_request, 0_attempt, outcome::completed, true, false);
     }
     const double since = now;
     route->on_timer(now);
-    route->on_request(now, {0, 0, 0, true, false, 1, now + 9});
-    route->on_request(now, {1, 0, 0, true, false, 2, now + 9});
+    route->on_request(now, {0_request, 0_class, 0_tenant, true, false, 1, now + 9});
+    route->on_request(now, {1_request, 0_class, 0_tenant, true, false, 2, now + 9});
     for (route->actions.clear(); now < since + 9;
          now += now - since >= gap_at && gap > 0 ? std::exchange(gap, 0) : 0.05) {
         route->on_timer(now);
@@ -154,9 +155,9 @@
     given.constraints.may_check_health = true;
     const auto probes = [&](const std::function<void(router &)> &then, bool uploading) {
         const auto route = make_router(given, 1, 0);
-        const std::array<endpoint_info, 3> all = {{{0, "a"}, {1, "b"}, {2, "c"}}};
+        const std::array<endpoint_info, 3> all = {{{0_endpoint, "a"}, {1_endpoint, "b"}, {2_endpoint, "c"}}};
         route->on_endpoints_updated(0, endpoint_update_kind::snapshot, all);
-        request_info made{0, 0, 0, true, false, 5, 100};
+        request_info made{0_request, 0_class, 0_tenant, true, false, 5, 100};
         made.streams_body = uploading;
         route->on_request(0, made);
         REQUIRE(route->actions.back().kind == action_kind::start_attempt);
@@ -172,17 +173,18 @@
         return sent;
     };
     const auto nothing = [](router &) {};
-    CHECK(probes(nothing, true) == 0);                                              // a body on its way
-    CHECK(probes([](router &of) { of.on_response_started(0.01, 0); }, false) == 0); // an answer on its way
-    CHECK(probes(nothing, false) > 0);                                              // silence
-    CHECK(probes([](router &of) { of.on_request_body_sent(0.01, 0, 90); }, true) >
+    CHECK(probes(nothing, true) == 0); // a body on its way
+    CHECK(probes([](router &of) { of.on_response_started(0.01, 0_request); }, false) ==
+          0);                          // an answer on its way
+    CHECK(probes(nothing, false) > 0); // silence
+    CHECK(probes([](router &of) { of.on_request_body_sent(0.01, 0_request, 90); }, true) >
           0); // likewise, once it is written
 }
 
 // Guards the limit on all against a slow way to another zone: half of the servers lie beyond it, and their
 // answers come later and later, up to 1.6 SLO times; those at home have room all the same.
 TEST_CASE("a slow way is no load") {
-    const auto sent_at_once = [](index home) {
+    const auto sent_at_once = [](zone_index home) {
         router_settings given;
         given.request_classes.push_back({effect_kind::idempotent, deduplication_scope::all, 0, 1, 1, 0});
         given.local_zone = home;
@@ -191,28 +193,29 @@
                                                    "s5", "s6", "s7", "s8", "s9"};
         std::vector<endpoint_info> entries(names.size());
         for (index i = 0; i < entries.size(); ++i) {
-            entries[i].endpoint = i;
+            entries[i].endpoint = endpoint_index(i);
             entries[i].id = names[i];
-            entries[i].zone = i % 2;
+            entries[i].zone = zone_index(i % 2);
         }
         route->on_endpoints_updated(0, endpoint_update_kind::snapshot, entries);
         for (index turn = 1; turn <= 400; ++turn) {
             route->actions.clear();
-            route->on_request(turn * 2, {0, 0, 0, true, false, turn * 7919ULL, 1e6});
-            const index to = route->actions.at(0).endpoint;
-            route->on_attempt_finished(turn * 2 + (to % 2 == 1 ? std::min(1.6, 0.3 + turn * 0.005) : 0.3), 0,
-                                       0, outcome::completed, true, false);
+            route->on_request(turn * 2, {0_request, 0_class, 0_tenant, true, false, turn * 7919ULL, 1e6});
+            const index to = route->actions.at(0).endpoint.value();
+            route->on_attempt_finished(turn * 2 + (to % 2 == 1 ? std::min(1.6, 0.3 + turn * 0.005) : 0.3),
+                                       0_request, 0_attempt, outcome::completed, true, false);
         }
         route->on_endpoints_updated(899, endpoint_update_kind::delta, {}); // the limits are looked at anew
         index sent = 0;
         for (index key = 0; key < 30; ++key) {
             route->actions.clear();
-            route->on_request(900, {key, 0, 0, true, false, key * 104729ULL, 1e6});
+            route->on_request(900,
+                              {request_index(key), 0_class, 0_tenant, true, false, key * 104729ULL, 1e6});
             sent += !route->actions.empty();
         }
         return sent;
     };
-    CHECK(sent_at_once(0) > 25);
+    CHECK(sent_at_once(0_zone) > 25);
     CHECK(sent_at_once(none) <= 20); // where no zone is home, slow is slow
 }
 
@@ -225,16 +228,17 @@
         index sent = 0;
         for (index key = 0; key < 60; ++key) {
             one.route->actions.clear();
-            one.route->on_request(10, {key, 0, 0, true, false, key * 7919ULL, 99});
+            one.route->on_request(10,
+                                  {request_index(key), 0_class, 0_tenant, true, false, key * 7919ULL, 99});
             sent += !one.route->actions.empty();
         }
         REQUIRE(sent == 60);
-        one.route->on_attempt_finished(13, 0, 0, outcome::completed, true, fetched);
+        one.route->on_attempt_finished(13, 0_request, 0_attempt, outcome::completed, true, fetched);
         for (index key = 1; key < 38; ++key) // 22 stay in hand
-            one.route->on_attempt_finished(13, key, 0, outcome::canceled, true, false);
+            one.route->on_attempt_finished(13, request_index(key), 0_attempt, outcome::canceled, true, false);
         one.list(13, endpoint_update_kind::snapshot, 10); // the limits are looked at anew
         one.route->actions.clear();
-        one.route->on_request(13, {60, 0, 0, true, false, 3, 99});
+        one.route->on_request(13, {60_request, 0_class, 0_tenant, true, false, 3, 99});
         return !one.route->actions.empty();
     };
     CHECK(goes_on(true));
--- a/tests/subsets/endpoint_ranking_test.cpp
+++ b/tests/subsets/endpoint_ranking_test.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "subsets/endpoint_ranking.hpp"
 #include "subsets/test_fleet.hpp"
+#include "support/index_literals.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -35,7 +36,7 @@
         std::vector<double> parts;
         for (const auto &[away, id] : nearest) {
             distances.push_back(away);
-            parts.push_back(all[id].zone == 0 ? 0 : 1);
+            parts.push_back(all[id].zone == 0_zone ? 0 : 1);
         }
         const auto normal = compute_subset_reach(distances, std::vector<double>(200, 1.0), 1, 4).wanted;
         const auto now = compute_subset_reach(distances, parts, 1, 4).wanted;
--- a/tests/subsets/subset_router_test.cpp
+++ b/tests/subsets/subset_router_test.cpp
@@ -1,6 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
+#include "router/indexed_vector.hpp"
 #include "subsets/subset_router.hpp"
 #include "subsets/test_fleet.hpp"
+#include "support/index_literals.hpp"
 
 #include <algorithm>
 #include <doctest/doctest.h>
@@ -29,7 +31,7 @@
     endpoint_info entry(index endpoint, endpoint_state new_state = endpoint_state::ready,
                         double started = 0) const {
         endpoint_info result;
-        result.endpoint = endpoint;
+        result.endpoint = endpoint_index(endpoint);
         result.id = names[endpoint];
         result.state = new_state;
         result.started_at = started;
@@ -48,10 +50,11 @@
             else if (action.kind == action_kind::watch_endpoints)
                 ++watch_count;
             else if (action.kind == action_kind::start_attempt) {
-                CHECK(state[action.endpoint] ==
+                CHECK(state[action.endpoint.value()] ==
                       endpoint_state::ready); // drains are kept, whatever the subset does
                 ++sent[action.endpoint];
-                in_flight[action.request] = {action.endpoint, attempt_counts[action.request]++};
+                in_flight[action.request] = {action.endpoint, attempt_counts[action.request]};
+                ++attempt_counts[action.request];
             } else if (action.kind == action_kind::check_health) {
                 health_checks.push_back(action.endpoint);
             } else if (action.kind == action_kind::reject_request ||
@@ -69,21 +72,21 @@
             now = std::max(now, timer_at);
             subject->on_timer(now);
             apply_actions();
-            for (const index endpoint : std::exchange(health_checks, {})) {
+            for (const endpoint_index endpoint : std::exchange(health_checks, {})) {
                 subject->on_health_check_finished(now, endpoint, !dead.contains(endpoint));
                 apply_actions();
             }
         }
         now = until;
     }
-    index send_request(index class_id = 0) {
+    request_index send_request(class_index class_id = 0_class) {
         if (free.empty())
-            free.push_back(static_cast<index>(answered.size()));
-        const index request = free.back();
+            free.push_back(answered.end_index());
+        const request_index request = free.back();
         free.pop_back();
-        answered.resize(std::max<std::size_t>(answered.size(), request + 1));
+        answered.grow_to(request);
         answered[request] = 0;
-        attempt_counts[request] = 0;
+        attempt_counts[request] = 0_attempt;
         live.insert(request);
         request_info sent_request;
         sent_request.request = request;
@@ -111,17 +114,17 @@
     void run_requests(int request_count) {
         for (int i = 0; i < request_count; ++i) {
             advance_to(now + 0.05);
-            const index request = send_request();
+            const request_index request = send_request();
             advance_to(now + 0.05);
             finish_attempts();
             if (!live.contains(request))
                 CHECK(answered[request] == 1);
         }
     }
-    std::set<index> endpoints_used_by(int request_count) {
+    std::set<endpoint_index> endpoints_used_by(int request_count) {
         sent.clear();
         run_requests(request_count);
-        std::set<index> result;
+        std::set<endpoint_index> result;
         for (const auto &[endpoint, count] : sent)
             result.insert(endpoint);
         return result;
@@ -132,11 +135,14 @@
     std::vector<std::string> names;
     std::vector<endpoint_state> state;
     double now = 0, timer_at = 0;
-    std::map<index, std::pair<index, index>> in_flight; // by request: endpoint and attempt
-    std::map<index, index> attempt_counts, sent;
-    std::vector<int> answered;
-    std::vector<index> free, health_checks;
-    std::set<index> live, dead;
+    std::map<request_index, std::pair<endpoint_index, attempt_number>> in_flight;
+    std::map<request_index, attempt_number> attempt_counts;
+    std::map<endpoint_index, index> sent;
+    indexed_vector<request_index, int> answered;
+    std::vector<request_index> free;
+    std::vector<endpoint_index> health_checks;
+    std::set<request_index> live;
+    std::set<endpoint_index> dead;
     std::size_t watch_count = 0; // requests to watch the endpoint list
 };
 
@@ -152,7 +158,7 @@
         all.push_back(plain.entry(i));
     plain.subject->on_endpoints_updated(0, endpoint_update_kind::snapshot, all);
     plain.apply_actions();
-    chosen.dead = plain.dead = {3, 4, 5};
+    chosen.dead = plain.dead = {3_endpoint, 4_endpoint, 5_endpoint};
     CHECK(chosen.endpoints_used_by(300) == plain.endpoints_used_by(300));
     CHECK(chosen.sent == plain.sent);
     CHECK(chosen.subject->subset().endpoints_removed == 0);
@@ -173,7 +179,7 @@
         one.run_requests(200);
         const auto later = one.endpoints_used_by(300);
         met += first.size();
-        for (const index each : first)
+        for (const endpoint_index each : first)
             kept += later.contains(each);
     }
     CHECK(kept * 5 >= met); // at level 2 of 4 a quarter is preferred for good; of all 200 a sixteenth
@@ -221,7 +227,7 @@
     }
     for (int i = 0; i < 60; ++i) {
         one.advance_to(one.now + 0.1);
-        const index request = one.send_request();
+        const request_index request = one.send_request();
         if (const auto at = one.in_flight.find(request); at != one.in_flight.end()) {
             const auto attempt = at->second.second;
             one.in_flight.erase(at);
@@ -245,13 +251,13 @@
     const auto widened = one.subject->subset();
     CHECK(widened.widened_for_availability > 0);
     std::size_t alive = 0;
-    for (const index each : one.endpoints_used_by(100))
+    for (const endpoint_index each : one.endpoints_used_by(100))
         alive += !one.dead.contains(each);
     CHECK(alive >= 6);
     one.dead.clear();
     one.run_requests(200);
     for (index each = 0; each < 200; ++each)
-        CHECK_FALSE(one.subject->avoids_endpoint(each));
+        CHECK_FALSE(one.subject->avoids_endpoint(endpoint_index(each)));
     CHECK(one.subject->subset().selected_endpoints < widened.selected_endpoints);
     CHECK(one.endpoints_used_by(100).size() <= narrow.size() + 2);
 }
@@ -283,13 +289,13 @@
                 one.update_endpoint(endpoint, endpoint_state::ready, one.now);
                 break;
             case 3:
-                if (!one.dead.insert(endpoint).second)
-                    one.dead.erase(endpoint);
+                if (!one.dead.insert(endpoint_index(endpoint)).second)
+                    one.dead.erase(endpoint_index(endpoint));
                 break;
             default:
                 break;
             }
-            one.send_request(random() % 2);
+            one.send_request(class_index(random() % 2));
             one.advance_to(one.now + 0.05);
             if (random() % 3 != 0)
                 one.finish_attempts();
--- a/tests/subsets/subset_size_test.cpp
+++ b/tests/subsets/subset_size_test.cpp
@@ -28,7 +28,7 @@
     alone.proxy_index = none;
     CHECK(subsetting_never_helps(alone));
     alone = low_traffic_settings();
-    alone.origin_kind = 1;
+    alone.origin_kind = kind_index(1);
     CHECK(subsetting_never_helps(alone));
     alone = low_traffic_settings();
     alone.proxy_count = 15;
--- a/tests/subsets/test_fleet.hpp
+++ b/tests/subsets/test_fleet.hpp
@@ -24,7 +24,7 @@
 inline std::vector<coverage_endpoint> make_endpoints(index count, bool uneven = false) {
     std::vector<coverage_endpoint> result;
     for (index i = 0; i < count; ++i)
-        result.push_back({endpoint_id(i), uneven ? 0.5 + i % 4 * 0.5 : 1.0, i % 3 == 0 ? 0 : 1U});
+        result.push_back({endpoint_id(i), uneven ? 0.5 + i % 4 * 0.5 : 1.0, zone_index(i % 3 == 0 ? 0 : 1)});
     return result;
 }
 
--- a/tests/support/helpers.hpp
+++ b/tests/support/helpers.hpp
@@ -99,23 +99,24 @@
                                                      {"drain_alone", &allow.removal_is_advisory},
                                                      {"subscribe", &allow.watch_required}};
         const std::map<std::string, index *> counts = {{"executions", &allow.max_attempts},
-                                                       {"peers", &settings_.proxy_count},
-                                                       {"origin", &settings_.origin_kind}};
+                                                       {"peers", &settings_.proxy_count}};
         if (numbers.contains(name))
             *numbers.at(name) = value;
         else if (flags.contains(name))
             *flags.at(name) = value != 0;
         else if (name == "tenant")
             settings_.tenant_quotas.push_back(value);
+        else if (name == "origin")
+            settings_.origin_kind = kind_index(static_cast<index>(value));
         else
             *counts.at(name) = static_cast<index>(value);
     }
 
-    index server(const std::string &name) {
+    endpoint_index server(const std::string &name) {
         const auto at = static_cast<index>(place(names_, name));
         if (at == names_.size())
             names_.push_back(name);
-        return at;
+        return endpoint_index(at);
     }
 
     // TIME list KIND {NAME[/KIND][@ZONE][*STARTED][!|-]} | query ID USE [key=K] [tenant=T] [write] end=T
@@ -139,25 +140,28 @@
                     const auto at = item.find(mark);
                     return at == std::string::npos ? 0.0 : std::stod(item.substr(at + 1));
                 };
-                entry.kind = static_cast<index>(field('/'));
-                entry.zone = static_cast<index>(field('@'));
-                entry.cell = entry.zone;
+                entry.kind = kind_index(static_cast<index>(field('/')));
+                entry.zone = zone_index(static_cast<index>(field('@')));
+                entry.cell = cell_index(entry.zone.value());
                 entry.started_at = field('*');
                 entry.endpoint = server(item.substr(0, item.find_first_of("/@*!-")));
                 entries.push_back(entry);
             }
             for (auto &entry : entries) // names_ holds still now
-                entry.id = names_[entry.endpoint];
+                entry.id = names_[entry.endpoint.value()];
             router_->on_endpoints_updated(now, kind, entries);
         } else if (what == "query") {
             request_info made;
-            words >> made.request >> made.class_id;
+            index query = 0, use_case = 0;
+            words >> query >> use_case;
+            made.request = request_index(query);
+            made.class_id = class_index(use_case);
             for (std::string item; words >> item;) {
                 made.is_write = made.is_write || item == "write";
                 if (item.starts_with("key="))
                     made.has_key = true, made.key = std::stoull(item.substr(4));
                 if (item.starts_with("tenant="))
-                    made.tenant = static_cast<index>(std::stoul(item.substr(7)));
+                    made.tenant = tenant_index(static_cast<index>(std::stoul(item.substr(7))));
                 if (item.starts_with("end="))
                     made.deadline = std::stod(item.substr(4));
             }
@@ -175,15 +179,15 @@
             const auto at = place({"completed", "error", "queue_full", "timed_out", "connect_error", "reset",
                                    "canceled", "ignored", "miss"},
                                   word);
-            router_->on_attempt_finished(now, query, execution, static_cast<outcome>(at), over == "over",
-                                         false, told);
+            router_->on_attempt_finished(now, request_index(query), attempt_number(execution),
+                                         static_cast<outcome>(at), over == "over", false, told);
         } else if (what == "adopt") { // one more line of settings, by its words
             set_up(words);
             router_->update_settings(now, settings_);
         } else if (what == "left") {
             index query = 0;
             words >> query;
-            router_->on_client_disconnected(now, query);
+            router_->on_client_disconnected(now, request_index(query));
         } else if (what == "probed") {
             bool answered = false;
             words >> word >> answered;
@@ -212,7 +216,7 @@
             if (act.kind == action_kind::cancel_attempt)
                 out_ << '.' << act.attempt;
             if (act.endpoint != none)
-                out_ << " -> " << names_[act.endpoint];
+                out_ << " -> " << names_[act.endpoint.value()];
             if (act.time > 0)
                 out_ << " back in " << act.time;
             if (at >= 0)
