--- a/src/hosted/admin_port.cpp
+++ b/src/hosted/admin_port.cpp
@@ -2,6 +2,7 @@
 #include "hosted/admin_port.hpp"
 
 #include "net/http.hpp"
+#include "proxy/client/response_writer.hpp"
 
 #include <cerrno>
 #include <system_error>
@@ -11,6 +12,13 @@
 
 constexpr double look = 0.1; // s between looks whether it is over
 constexpr double pause = 0.005;
+// s for which one connection without a thread may hold up accepting, at each step.
+constexpr double no_thread_greeting_limit = 0.25; // a handshake takes a round trip
+constexpr double no_thread_write_limit = 0.05;
+constexpr double no_thread_linger = 0.05;
+// s for which a connection that has failed holds its thread, at each step.
+constexpr double failure_write_limit = 1;
+constexpr double failure_linger = 0.2;
 
 bool is_loopback(const address &where) {
     const auto text = to_text(where);
@@ -66,60 +74,122 @@
 
 void admin_port::run() {
     while (!over_) {
-        pollfd in{socket_.get(), POLLIN, 0};
         if (open_ >= most_.connections) {
             wait_on({}, pause);
             continue;
         }
+        pollfd in{socket_.get(), POLLIN, 0};
         wait_on({&in, 1}, look);
-        address peer;
-        tcp_socket one = accept_on(socket_, peer);
-        if (!one)
-            continue;
-        ++open_;
-        const auto shared = std::make_shared<tcp_socket>(std::move(one));
-        if (!start_detached([this, shared, from = to_text(peer)] {
-                serve(std::move(*shared), from);
-                --open_;
-            })) {
-            count("no_thread");
-            --open_;
-        }
+        accept_one();
     }
     while (open_ > 0)
         wait_on({}, pause);
 }
 
-void admin_port::serve(tcp_socket socket, const std::string &peer) {
-    std::string reason = "failed";
-    std::uint64_t requests = 0;
+void admin_port::accept_one() {
+    address peer;
+    tcp_socket socket = accept_on(socket_, peer);
+    if (socket && !start_serving(socket, peer))
+        reject_without_thread(std::move(socket), peer);
+}
+
+bool admin_port::start_serving(tcp_socket &socket, const address &peer) {
+    ++open_;
+    std::shared_ptr<tcp_socket> shared;
+    try {
+        shared = std::make_shared<tcp_socket>(std::move(socket));
+        if (start_detached([this, shared, from = to_text(peer)] {
+                serve(std::move(*shared), from);
+                --open_;
+            }))
+            return true;
+    } catch (const std::bad_alloc &) { // as for want of a thread
+    }
+    --open_;
+    if (shared)
+        socket = std::move(*shared);
+    return false;
+}
+
+void admin_port::reject_without_thread(tcp_socket socket, const address &peer) {
+    // First, so that whoever has the answer finds it counted.
+    try {
+        record_end(to_text(peer), 0, "no_thread");
+    } catch (const std::bad_alloc &) { // none for the peer's text; it is answered all the same
+    }
     try {
         stream with(std::move(socket), identity_ != nullptr ? identity_->now() : nullptr);
+        if (with.greet(no_thread_greeting_limit))
+            with.write_fallback(proxy::fallback_response::unavailable, no_thread_write_limit);
+        with.close_gracefully(no_thread_linger);
+    } catch (
+        const std::bad_alloc &) { // none for the text of a TLS failure, which ends the connection as well
+    }
+}
+
+void admin_port::serve(tcp_socket socket, const std::string &peer) {
+    stream with(std::move(socket), identity_ != nullptr ? identity_->now() : nullptr);
+    const char *reason = "failed";
+    connection_state connection;
+    try {
         if (!with.greet(most_.greeting)) {
             reason = "no_greeting";
             log_.info("admin-greeting peer=", peer, " error=\"", with.why(), '"');
         } else {
-            reason = talk(with, requests);
+            reason = talk(with, connection);
             with.finish();
         }
     } catch (const std::bad_alloc &) {
         reason = "no_memory";
+        answer_failure(with, connection.progress);
     } catch (const std::exception &failed) {
-        log_.error("admin-failed peer=", peer, " error=", failed.what());
+        answer_failure(with, connection.progress);
+        log_failure(peer, failed.what());
+    }
+    record_end(peer, connection.requests, reason);
+}
+
+void admin_port::answer_failure(stream &with, request_progress progress) {
+    if (progress == request_progress::responding)
+        return; // a part of the response may be on its way
+    const bool executed = progress == request_progress::executing;
+    try {
+        with.write_fallback(executed ? proxy::fallback_response::bad_gateway
+                                     : proxy::fallback_response::unavailable,
+                            failure_write_limit);
+        with.close_gracefully(failure_linger);
+    } catch (
+        const std::bad_alloc &) { // none for the text of a TLS failure, which ends the connection as well
+    }
+}
+
+void admin_port::log_failure(const std::string &peer, const char *what) {
+    try {
+        log_.error("admin-failed peer=", peer, " error=", what);
+    } catch (const std::bad_alloc &) { // as in record_end()
+    }
+}
+
+void admin_port::record_end(const std::string &peer, std::uint64_t requests, const char *reason) {
+    try {
+        count(reason);
+        log_.info("connection-end side=admin peer=", peer, " requests=", requests, " reason=", reason);
+    } catch (const std::bad_alloc &) { // the end goes unrecorded, and the program goes on
     }
-    count(reason);
-    log_.info("connection-end side=admin peer=", peer, " requests=", requests, " reason=", reason);
 }
 
-const char *admin_port::talk(stream &with, std::uint64_t &requests) {
+const char *admin_port::talk(stream &with, connection_state &connection) {
     const std::string who = with.caller();
     const auto answer = [&](const admin::api_answer &made, bool keeps) {
         count(made.why);
-        return with.write(head_of(made, keeps) + made.body, most_.answer);
+        const std::string text = head_of(made, keeps) + made.body;
+        connection.progress = request_progress::responding;
+        return with.write(text, most_.answer);
     };
     std::vector<char> buffer; // grows with what comes, and goes with the request
     std::string rest;
     for (;;) {
+        connection.progress = request_progress::reading;
         buffer.assign(std::max<std::size_t>(buffer_size, rest.size()), '\0');
         std::copy(rest.begin(), rest.end(), buffer.begin());
         auto reader = std::make_unique<http_reader>(buffer, http_reader::message_kind::request, rest.size());
@@ -166,7 +236,7 @@
             answer(refusal(big ? 413 : 400, big ? "too_large" : "malformed"), false);
             return big ? "too_large" : "malformed";
         }
-        ++requests;
+        ++connection.requests;
         const auto &head = reader->head();
         // Guards against what two readers would take for different callers, or different writes.
         for (const std::string_view each : {"Authorization", "If-Match", "If-None-Match", "Idempotency-Key"})
@@ -185,6 +255,7 @@
         asked.if_none_match = head.header("If-None-Match");
         asked.idempotency_key = head.header("Idempotency-Key");
         asked.body = reader->body();
+        connection.progress = request_progress::executing;
         const auto made = api_.answer(asked);
         if (asked.method != "GET")
             log_.info("admin-call method=", asked.method,
--- a/src/hosted/admin_port.hpp
+++ b/src/hosted/admin_port.hpp
@@ -38,10 +38,28 @@
     std::map<std::string, std::uint64_t> counted() const;
 
 private:
+    // How far a connection's current request is.
+    enum class request_progress : std::uint8_t { reading, executing, responding };
+    // A connection while it is served.
+    struct connection_state {
+        std::uint64_t requests = 0; // that were read completely
+        request_progress progress = request_progress::reading;
+    };
+
     void run();
+    void accept_one();
+    // False: there was no thread or no memory for one; the connection is still in `socket`.
+    bool start_serving(tcp_socket &socket, const address &peer);
+    // On the accepting thread, so each step has a short limit.
+    void reject_without_thread(tcp_socket socket, const address &peer);
     void serve(tcp_socket socket, const std::string &peer);
-    const char *talk(stream &with, std::uint64_t &requests);
+    // Answers a connection whose thread cannot go on.
+    static void answer_failure(stream &with, request_progress progress);
+    const char *talk(stream &with, connection_state &connection);
     void count(const std::string &what);
+    void log_failure(const std::string &peer, const char *what);
+    // Counts and logs it; without memory for that, neither.
+    void record_end(const std::string &peer, std::uint64_t requests, const char *reason);
 
     admin::api &api_;
     const identity *const identity_;
--- a/src/hosted/tls.cpp
+++ b/src/hosted/tls.cpp
@@ -1,7 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "hosted/tls.hpp"
 
+#include "net/buffer_pool.hpp"
 #include "net/threads.hpp"
+#include "proxy/client/response_writer.hpp"
 
 #include <algorithm>
 #include <fcntl.h>
@@ -13,6 +15,14 @@
 namespace harrierpass::hosted {
 namespace {
 
+using proxy::fallback_response;
+
+// The texts of write_fallback_response(), which writes to sockets without TLS.
+constexpr std::string_view unavailable_text =
+    "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
+constexpr std::string_view bad_gateway_text =
+    "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
+
 std::string last_error() {
     std::string text = "unknown";
     if (const auto code = ERR_get_error(); code != 0) {
@@ -97,10 +107,14 @@
     if (tls_ == nullptr)
         return false;
     const double until = steady_now() + limit;
-    for (int got; (got = SSL_accept(tls_)) != 1;)
+    for (;;) {
+        ERR_clear_error(); // of an earlier connection on this thread
+        const int got = SSL_accept(tls_);
+        if (got == 1)
+            return true;
         if (!blocked(got, until))
             return false;
-    return true;
+    }
 }
 
 long stream::read(char *to, std::size_t size) {
@@ -139,6 +153,12 @@
     return true;
 }
 
+bool stream::write_fallback(fallback_response which, double limit) {
+    if (!as_)
+        return proxy::write_fallback_response(socket_, which, limit);
+    return write(which == fallback_response::unavailable ? unavailable_text : bad_gateway_text, limit);
+}
+
 bool stream::wait(double limit) {
     if (tls_ != nullptr && SSL_pending(tls_) > 0)
         return true;
@@ -152,6 +172,11 @@
     ::shutdown(socket_.get(), SHUT_WR);
 }
 
+void stream::close_gracefully(double limit) {
+    finish();
+    harrierpass::close_gracefully(socket_, limit, buffer_size);
+}
+
 std::string stream::caller() const {
     if (tls_ == nullptr || SSL_get_verify_result(tls_) != X509_V_OK)
         return {};
--- a/src/hosted/tls.hpp
+++ b/src/hosted/tls.hpp
@@ -5,6 +5,7 @@
 
 #include "net/sockets.hpp"
 
+#include <cstdint>
 #include <memory>
 #include <mutex>
 #include <stdexcept>
@@ -12,6 +13,10 @@
 struct ssl_ctx_st;
 struct ssl_st;
 
+namespace harrierpass::proxy {
+enum class fallback_response : std::uint8_t;
+}
+
 namespace harrierpass::hosted {
 
 // A certificate, key or authority that cannot be used: the message names the file and the cause.
@@ -53,7 +58,13 @@
     long read(char *to, std::size_t size);
     bool write(std::string_view text, double limit);
     bool wait(double limit); // for bytes, or an end; false: none in time, or this thread was called
-    void finish();           // says that nothing more comes
+    // Writes a constant response, for a connection that a failure of the service itself ends. Does not use
+    // the C++ heap. False: the caller has not taken all of it.
+    bool write_fallback(proxy::fallback_response which, double limit);
+    void finish(); // says that nothing more comes
+    // finish(), then drops what the caller still sends, for at most `limit` s, so that the connection's end
+    // does not destroy a response on its way, and closes.
+    void close_gracefully(double limit);
     const std::string &why() const { return why_; }
     // The common name of a caller's certificate that its authority stands for; empty: there is none.
     std::string caller() const;
--- a/tests/hosted/hosted_test.cpp
+++ b/tests/hosted/hosted_test.cpp
@@ -13,6 +13,8 @@
 #include <atomic>
 #include <chrono>
 #include <csignal>
+#include <cstdlib>
+#include <dlfcn.h>
 #include <doctest/doctest.h>
 #include <filesystem>
 #include <fstream>
@@ -21,6 +23,7 @@
 #include <openssl/pem.h>
 #include <openssl/ssl.h>
 #include <openssl/x509v3.h>
+#include <pthread.h>
 #include <queue>
 #include <random>
 #include <sstream>
@@ -833,6 +836,7 @@
         setsockopt(socket.get(), SOL_SOCKET, SO_RCVTIMEO, &most, sizeof most);
         if (!secure)
             return;
+        std::signal(SIGPIPE, SIG_IGN); // OpenSSL writes to a connection that may be closed
         with.reset(SSL_CTX_new(TLS_client_method()), SSL_CTX_free);
         SSL_CTX_set_max_proto_version(with.get(), version);
         if (shows != nullptr) {
@@ -997,6 +1001,218 @@
     CHECK(of.all.now()->version() == 0);
 }
 
+// ---- The listener without threads or memory. The calls of the system that fail are replaced in this
+// program; they pass everything on unless a test has armed them.
+
+// What is short while a test has armed it.
+struct shortage_script {
+    std::atomic<bool> no_threads = false;              // detached threads, as the listener starts them
+    std::atomic<bool> no_memory_after_accept = false;  // on the thread that accepts
+    std::atomic<bool> no_memory_after_receive = false; // on a detached thread that has received bytes
+};
+
+shortage_script &shortage() {
+    static shortage_script instance;
+    return instance;
+}
+
+// Arms one shortage for as long as it lives.
+class scoped_shortage {
+public:
+    explicit scoped_shortage(std::atomic<bool> &armed) : armed_(armed) { armed_.store(true); }
+    ~scoped_shortage() { armed_ = false; }
+    scoped_shortage(const scoped_shortage &) = delete;
+    scoped_shortage &operator=(const scoped_shortage &) = delete;
+
+private:
+    std::atomic<bool> &armed_;
+};
+
+thread_local bool allocations_fail = false;
+thread_local bool is_detached_thread = false;
+
+// What pthread_create() was given, for a thread that notes that it is detached.
+struct thread_start {
+    void *(*routine)(void *);
+    void *argument;
+};
+
+void *run_detached(void *argument) {
+    const std::unique_ptr<thread_start> start(static_cast<thread_start *>(argument));
+    is_detached_thread = true;
+    return start->routine(start->argument);
+}
+
+template <typename Function> Function next_symbol(const char *name) {
+    return reinterpret_cast<Function>(dlsym(RTLD_NEXT, name));
+}
+
+} // namespace harrierpass
+
+extern "C" {
+
+int pthread_create(pthread_t *newthread, const pthread_attr_t *attr, void *(*start_routine)(void *),
+                   void *arg) {
+    using namespace harrierpass;
+    using create = int (*)(pthread_t *, const pthread_attr_t *, void *(*)(void *), void *);
+    static const auto real = next_symbol<create>("pthread_create");
+    int detach_state = PTHREAD_CREATE_JOINABLE;
+    if (attr != nullptr)
+        pthread_attr_getdetachstate(attr, &detach_state);
+    if (detach_state != PTHREAD_CREATE_DETACHED)
+        return real(newthread, attr, start_routine, arg);
+    if (shortage().no_threads)
+        return EAGAIN;
+    auto start = std::make_unique<thread_start>(thread_start{start_routine, arg});
+    const int error = real(newthread, attr, run_detached, start.get());
+    if (error == 0)
+        static_cast<void>(start.release()); // run_detached() owns it
+    return error;
+}
+
+int accept4(int fd, sockaddr *addr, socklen_t *addr_len, int flags) {
+    using namespace harrierpass;
+    static const auto real = next_symbol<int (*)(int, sockaddr *, socklen_t *, int)>("accept4");
+    const int accepted = real(fd, addr, addr_len, flags);
+    allocations_fail = accepted >= 0 && shortage().no_memory_after_accept;
+    return accepted;
+}
+
+ssize_t recv(int fd, void *buf, size_t n, int flags) {
+    using namespace harrierpass;
+    static const auto real = next_symbol<ssize_t (*)(int, void *, size_t, int)>("recv");
+    const ssize_t received = real(fd, buf, n, flags);
+    if (is_detached_thread)
+        allocations_fail = received > 0 && shortage().no_memory_after_receive;
+    return received;
+}
+}
+
+// Not inlined: the compiler would take each free() for a mismatch of the new expression that it can see.
+[[gnu::noinline]] void *operator new(std::size_t size) {
+    if (harrierpass::allocations_fail)
+        throw std::bad_alloc();
+    if (void *const memory = std::malloc(size)) // NOLINT(cppcoreguidelines-no-malloc): what new is made of
+        return memory;
+    throw std::bad_alloc();
+}
+
+[[gnu::noinline]] void operator delete(void *memory) noexcept {
+    std::free(memory); // NOLINT(cppcoreguidelines-no-malloc)
+}
+
+[[gnu::noinline]] void operator delete(void *memory, std::size_t) noexcept {
+    std::free(memory); // NOLINT(cppcoreguidelines-no-malloc)
+}
+
+namespace harrierpass {
+
+const std::string unavailable_response =
+    "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
+const std::string bad_gateway_response =
+    "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
+const std::string version_request =
+    "GET /v1/version HTTP/1.1\r\nAuthorization: Bearer root.root-secret\r\n\r\n";
+
+// The answer to one request, without TLS.
+std::string plain_answer(const address &to) {
+    caller one(to, false);
+    one.send(version_request);
+    return one.read();
+}
+
+TEST_CASE("the listener: no thread for a connection is answered, and accepting goes on") {
+    const folder at;
+    service of(at.db());
+    const paper root(at.at, "authority", -10, 1000), served(at.at, "served", -10, 1000, &root);
+    std::ostringstream text;
+    log lines(text, log_level::info);
+    hosted::identity shown({served.certificate, served.key, ""});
+    const auto any = *parse_address("127.0.0.1:0");
+    for (const bool secure : {false, true}) {
+        CAPTURE(secure);
+        const hosted::admin_port port(of.calls, secure ? &shown : nullptr, any, lines);
+        const auto answered = [&] {
+            caller one(port.at(), secure);
+            if (!secure)
+                one.send(version_request);
+            return one.read(); // with TLS the answer comes without a request
+        };
+        {
+            const scoped_shortage armed(shortage().no_threads);
+            for (int i = 0; i < 3; ++i)
+                CHECK(answered() == unavailable_response);
+        }
+        CHECK(port.counted().at("no_thread") == 3);
+        CHECK(caller(port.at(), secure).ask("GET", "/v1/version", "root.root-secret").substr(9, 3) == "200");
+    }
+    CHECK(text.str().find("side=admin peer=127.0.0.1:") != std::string::npos);
+    CHECK(text.str().find("requests=0 reason=no_thread") != std::string::npos);
+}
+
+TEST_CASE("the listener: a connection that never speaks holds up accepting for a bounded time only") {
+    const folder at;
+    service of(at.db());
+    const paper served(at.at, "served", -10, 1000);
+    std::ostringstream text;
+    log lines(text, log_level::info);
+    hosted::identity shown({served.certificate, served.key, ""});
+    const hosted::admin_port port(of.calls, &shown, *parse_address("127.0.0.1:0"), lines);
+    const scoped_shortage armed(shortage().no_threads);
+    std::vector<std::unique_ptr<caller>> silent;
+    silent.reserve(3);
+    for (int i = 0; i < 3; ++i)
+        silent.push_back(std::make_unique<caller>(port.at(), false));
+    const double began = steady_now();
+    CHECK(caller(port.at()).read() == unavailable_response);
+    CHECK(steady_now() - began < 5); // less than the handshake limit of one served connection
+}
+
+TEST_CASE("the listener: no memory for a connection is answered, and the program goes on") {
+    const folder at;
+    service of(at.db());
+    const paper served(at.at, "served", -10, 1000);
+    std::ostringstream text;
+    log lines(text, log_level::info);
+    hosted::identity shown({served.certificate, served.key, ""});
+    const auto any = *parse_address("127.0.0.1:0");
+    const hosted::admin_port plain(of.calls, nullptr, any, lines), secure(of.calls, &shown, any, lines);
+    {
+        const scoped_shortage armed(shortage().no_memory_after_accept);
+        CHECK(plain_answer(plain.at()) == unavailable_response);
+        CHECK(plain_answer(plain.at()) == unavailable_response);
+        CHECK(caller(secure.at()).read() == unavailable_response);
+    }
+    CHECK(plain_answer(plain.at()).substr(9, 3) == "200");
+    CHECK(caller(secure.at()).ask("GET", "/v1/version", "root.root-secret").substr(9, 3) == "200");
+    {
+        const scoped_shortage armed(shortage().no_memory_after_receive);
+        CHECK(plain_answer(plain.at()) == unavailable_response);
+    }
+    CHECK(plain_answer(plain.at()).substr(9, 3) == "200");
+}
+
+TEST_CASE("the listener: memory that ends during a change is answered as possibly executed") {
+    const folder at;
+    service of(at.db());
+    const paper served(at.at, "served", -10, 1000);
+    std::ostringstream text;
+    log lines(text, log_level::info);
+    hosted::identity shown({served.certificate, served.key, ""});
+    of.all.on_change = [](const set_ptr &) { throw std::bad_alloc(); };
+    for (const bool secure : {false, true}) {
+        CAPTURE(secure);
+        const hosted::admin_port port(of.calls, secure ? &shown : nullptr, *parse_address("127.0.0.1:0"),
+                                      lines);
+        const std::string name = secure ? "t2" : "t1";
+        caller one(port.at(), secure);
+        CHECK(one.ask("PUT", "/v1/tenants/" + name, "root.root-secret", body_of(name).dump()) ==
+              bad_gateway_response);
+        CHECK(of.all.now()->find(name));
+    }
+    CHECK(text.str().find("reason=no_memory") != std::string::npos);
+}
+
 // Long, and of figures: harrierpass_hosted_tests -tc="*thousand*" --no-skip
 TEST_CASE("ten thousand tenants" * doctest::skip()) {
     const auto seconds = [] {
