--- a/src/hosted/admin_port.hpp
+++ b/src/hosted/admin_port.hpp
@@ -6,6 +6,9 @@
 
 #include "admin/api.hpp"
 #include "base/log.hpp"
+#include "hosted/admin_limits.hpp"
+#include "hosted/admin_session.hpp"
+#include "hosted/event_counters.hpp"
 #include "hosted/tls.hpp"
 #include "net/threads.hpp"
 
@@ -15,37 +18,21 @@
 
 namespace harrierpass::hosted {
 
-struct admin_limits {
-    std::size_t connections = 32;         // more wait to be accepted
-    std::size_t body = 8UL * 1024 * 1024; // bytes; some 10,000 tenants
-    double greeting = 5, request = 10,
-           idle = 30;   // s: for a handshake; for a request to come whole; between two
-    double answer = 10; // s for a caller to take it
-};
-
 class admin_port {
 public:
     // Throws std::system_error where it cannot listen, bad_identity for a plain listener that is not on
     // loopback. `as` may be null: plain.
     admin_port(admin::api &calls, const identity *as, const address &where, log &lines,
-               const admin_limits &most = {});
+               const admin_limits &limits = {});
     ~admin_port(); // answers what is in hand
     admin_port(const admin_port &) = delete;
     admin_port &operator=(const admin_port &) = delete;
 
     address at() const { return at_; }
     // How often each thing happened, by its word in the log.
-    std::map<std::string, std::uint64_t> counted() const;
+    std::map<std::string, std::uint64_t> counted() const { return counters_.counts(); }
 
 private:
-    // How far a connection's current request is.
-    enum class request_progress : std::uint8_t { reading, executing, responding };
-    // A connection while it is served.
-    struct connection_state {
-        std::uint64_t requests = 0; // that were read completely
-        request_progress progress = request_progress::reading;
-    };
-
     void run();
     void accept_one();
     // False: there was no thread or no memory for one; the connection is still in `socket`.
@@ -55,8 +42,6 @@
     void serve(tcp_socket socket, const std::string &peer);
     // Answers a connection whose thread cannot go on.
     static void answer_failure(stream &with, request_progress progress);
-    const char *talk(stream &with, connection_state &connection);
-    void count(const std::string &what);
     void log_failure(const std::string &peer, const char *what);
     // Counts and logs it; without memory for that, neither.
     void record_end(const std::string &peer, std::uint64_t requests, const char *reason);
@@ -64,13 +49,12 @@
     admin::api &api_;
     const identity *const identity_;
     log &log_;
-    const admin_limits most_;
+    const admin_limits limits_;
     tcp_socket socket_;
     address at_;
     std::atomic<bool> over_ = false;
     std::atomic<std::size_t> open_ = 0;
-    mutable std::mutex lock_;
-    std::map<std::string, std::uint64_t> counted_;
+    event_counters counters_;
     std::optional<joined_thread> acceptor_;
 };
 
