--- a/src/tenants/model.cpp
+++ b/src/tenants/model.cpp
@@ -74,14 +74,17 @@
     return is == state::staged ? "staged" : is == state::active ? "active" : "draining";
 }
 
-std::vector<fault> check(const tenant &of) {
-    checker is;
-    is.need(is_label(of.name, most_name, "-"), "/name",
-            "is not 1 to 63 small letters, digits and '-', which neither begins nor ends it");
+namespace {
+
+void check_limits(checker &is, const tenant &of) {
     is.number(of.limits.rate, 0, most_rate, "/limits/rate", "is not between 0 and 1e9 queries a second");
     is.number(of.limits.burst, 0, most_rate, "/limits/burst", "is not between 0 and 1e9 queries");
     is.number(of.limits.work, 0, 1e6, "/limits/work", "is not between 0 and 1e6 s a second");
     is.number(of.limits.weight, 0.001, 1000, "/limits/weight", "is not between 0.001 and 1000");
+}
+
+// Returns the names.
+std::set<std::string_view> check_use_cases(checker &is, const tenant &of) {
     is.need(of.use_cases.size() <= most_use_cases, "/use_cases", "are more than 64");
     std::set<std::string_view> names;
     for (std::size_t i = 0; i < of.use_cases.size(); ++i) {
@@ -100,6 +103,10 @@
         is.need(use.decides.effect != effect_kind::deduplicated || use.decides.deduplication_window > 0,
                 at + "/window", "is needed where repeats are dropped");
     }
+    return names;
+}
+
+void check_routes(checker &is, const tenant &of, const std::set<std::string_view> &use_cases) {
     is.need(of.routes.size() <= most_routes, "/routes", "are more than 256");
     std::set<std::pair<std::string_view, std::string_view>> places;
     for (std::size_t i = 0; i < of.routes.size(); ++i) {
@@ -109,11 +116,14 @@
         is.need(is_prefix(each.prefix), at + "/prefix", "is no path of whole segments, as \"/\" or \"/a/b\"");
         is.need(is_label(each.pool, most_name, "-"), at + "/pool",
                 "is not 1 to 63 small letters, digits and '-'");
-        is.need(names.contains(each.use_case), at + "/use_case", "names none of the tenant's use cases");
+        is.need(use_cases.contains(each.use_case), at + "/use_case", "names none of the tenant's use cases");
         is.need(places.emplace(each.host, each.prefix).second, at,
                 "leads from the same host and prefix as another");
     }
     is.need(of.is != state::active || !of.routes.empty(), "/routes", "are needed by an active tenant");
+}
+
+void check_keys(checker &is, const tenant &of) {
     is.need(of.keys.size() <= most_keys, "/keys", "are more than 64");
     for (std::size_t i = 0; i < of.keys.size(); ++i) {
         const auto &key = of.keys[i];
@@ -123,6 +133,17 @@
                 at + "/hash", "is not 64 hexadecimal digits");
         is.need(key.note.size() <= most_text, at + "/note", "is longer than 255 bytes");
     }
+}
+
+} // namespace
+
+std::vector<fault> check(const tenant &of) {
+    checker is;
+    is.need(is_label(of.name, most_name, "-"), "/name",
+            "is not 1 to 63 small letters, digits and '-', which neither begins nor ends it");
+    check_limits(is, of);
+    check_routes(is, of, check_use_cases(is, of));
+    check_keys(is, of);
     return is.faults;
 }
 
@@ -220,72 +241,123 @@
     std::unordered_map<std::string, std::shared_ptr<tenant_set::host_table>> fresh_; // this version's own
 };
 
-std::variant<set_ptr, refusal> apply(const set_ptr &from, std::span<const change> steps) {
-    editor to(*from);
-    refusal bad;
-    const std::uint64_t version = from->version() + 1;
-    // What leaves goes first, so that two tenants may exchange a route in one transaction.
-    std::vector<tenant_ptr> wanted(steps.size());
-    std::set<std::string_view> named;
-    for (std::size_t i = 0; i < steps.size(); ++i) {
-        const auto &step = steps[i];
-        const std::string at = "/" + std::to_string(i);
-        const auto refuse = [&](const std::string &where, const std::string &why) {
-            bad.faults.push_back({at + where, why});
-        };
-        if (!named.insert(step.wanted.name).second) {
-            refuse("/name", "stands in two steps of one transaction");
-            continue;
-        }
-        const tenant_ptr old = from->find(step.wanted.name);
-        const bool creates = step.what == change::kind::create;
-        if (creates && old) {
-            refuse("/name",
+namespace {
+
+// One application of steps to a set. What leaves goes first, so that two tenants may exchange a route.
+class transaction {
+public:
+    transaction(const set_ptr &from, std::span<const change> steps)
+        : from_(*from), steps_(steps), to_(*from), arriving_(steps.size()), version_(from->version() + 1) {}
+
+    std::variant<set_ptr, refusal> run() {
+        for (std::size_t step = 0; step < steps_.size(); ++step)
+            remove_old(step);
+        if (refusal_.faults.empty())
+            insert_new();
+        if (!refusal_.faults.empty())
+            return refusal_;
+        to_.number(version_, to_.now().incarnations());
+        return to_.done();
+    }
+
+private:
+    void refuse(std::size_t step, const std::string &at, const std::string &why) {
+        refusal_.faults.push_back({"/" + std::to_string(step) + at, why});
+    }
+
+    // Takes the step's tenant out of the set, and prepares what comes in its place.
+    void remove_old(std::size_t step) {
+        const auto &wanted = steps_[step];
+        if (!named_.insert(wanted.wanted.name).second)
+            return refuse(step, "/name", "stands in two steps of one transaction");
+        const tenant_ptr old = from_.find(wanted.wanted.name);
+        if (!check_presence(step, old) || !check_version(step, old))
+            return;
+        auto next = next_state(step, old);
+        next->incarnation = old ? old->incarnation : to_.next_incarnation();
+        next->version = version_;
+        if (old)
+            to_.take_out(old);
+        if (wanted.what != change::kind::purge)
+            arriving_[step] = std::move(next);
+    }
+
+    // Whether the tenant is there, or is not, as the step needs it. `old`: null where it is not.
+    bool check_presence(std::size_t step, const tenant_ptr &old) {
+        const auto what = steps_[step].what;
+        if (what == change::kind::create && old) {
+            refuse(step, "/name",
                    old->is == state::draining ? "is a tenant's that still drains" : "is a tenant's already");
-            bad.conflict = true;
-            continue;
-        }
-        if (!old && !creates && step.what != change::kind::put) {
-            refuse("/name", "is no tenant's");
-            bad.absent = true;
-            continue;
+            refusal_.conflict = true;
+            return false;
         }
-        if (step.if_match && (!old || old->version != *step.if_match)) {
-            refuse("", "has changed since its version " + std::to_string(*step.if_match));
-            bad.conflict = true;
-            continue;
+        if (!old && what != change::kind::create && what != change::kind::put) {
+            refuse(step, "/name", "is no tenant's");
+            refusal_.absent = true;
+            return false;
         }
-        auto next = std::make_shared<tenant>(step.wanted);
-        if (step.what == change::kind::remove || step.what == change::kind::purge)
-            *next = *old;
-        if (step.what == change::kind::remove)
+        return true;
+    }
+
+    // Whether the tenant is as the step's writer has seen it.
+    bool check_version(std::size_t step, const tenant_ptr &old) {
+        const auto &if_match = steps_[step].if_match;
+        if (!if_match || (old && old->version == *if_match))
+            return true;
+        refuse(step, "", "has changed since its version " + std::to_string(*if_match));
+        refusal_.conflict = true;
+        return false;
+    }
+
+    // The tenant after the step, with the faults that need no set.
+    std::shared_ptr<tenant> next_state(std::size_t step, const tenant_ptr &old) {
+        const auto &wanted = steps_[step];
+        switch (wanted.what) {
+        case change::kind::remove: {
+            auto next = std::make_shared<tenant>(*old);
             next->is = state::draining;
-        else if (step.what == change::kind::purge && old->is != state::draining)
-            refuse("", "is not draining");
-        else if (step.what != change::kind::purge) {
-            if (old && old->is == state::draining)
-                refuse("/state", "cannot change while it drains");
-            if (next->is == state::draining)
-                refuse("/state", "is reached by removal only");
-            for (const auto &each : check(*next))
-                refuse(each.at, each.why);
+            return next;
+        }
+        case change::kind::purge:
+            if (old->is != state::draining)
+                refuse(step, "", "is not draining");
+            return std::make_shared<tenant>(*old);
+        default:
+            check_wanted(step, old);
+            return std::make_shared<tenant>(wanted.wanted);
         }
-        next->incarnation = old ? old->incarnation : to.next_incarnation();
-        next->version = version;
-        if (old)
-            to.take_out(old);
-        if (step.what != change::kind::purge)
-            wanted[i] = std::move(next);
     }
-    if (bad.faults.empty())
-        for (std::size_t i = 0; i < steps.size(); ++i)
-            if (wanted[i])
-                for (const auto &each : to.put_in(wanted[i]))
-                    bad.faults.push_back({"/" + std::to_string(i) + each.at, each.why});
-    if (!bad.faults.empty())
-        return bad;
-    to.number(version, to.now().incarnations());
-    return to.done();
+
+    void check_wanted(std::size_t step, const tenant_ptr &old) {
+        const tenant &wanted = steps_[step].wanted;
+        if (old && old->is == state::draining)
+            refuse(step, "/state", "cannot change while it drains");
+        if (wanted.is == state::draining)
+            refuse(step, "/state", "is reached by removal only");
+        for (const auto &each : check(wanted))
+            refuse(step, each.at, each.why);
+    }
+
+    void insert_new() {
+        for (std::size_t step = 0; step < steps_.size(); ++step)
+            if (arriving_[step])
+                for (const auto &each : to_.put_in(arriving_[step]))
+                    refuse(step, each.at, each.why);
+    }
+
+    const tenant_set &from_;
+    const std::span<const change> steps_;
+    editor to_;
+    std::vector<tenant_ptr> arriving_; // by step; null: nothing comes
+    const std::uint64_t version_;      // of the next set
+    std::set<std::string_view> named_; // by the steps so far
+    refusal refusal_;
+};
+
+} // namespace
+
+std::variant<set_ptr, refusal> apply(const set_ptr &from, std::span<const change> steps) {
+    return transaction(from, steps).run();
 }
 
 std::variant<set_ptr, refusal> restore(std::uint64_t version, std::uint64_t incarnations,
