--- /dev/null
+++ b/src/admin/tenant_operations.hpp
@@ -0,0 +1,20 @@
+// SPDX-License-Identifier: Apache-2.0
+// Operations on one tenant and its keys; docs/hosted.md lists them.
+#pragma once
+
+#include "admin/operation.hpp"
+
+namespace harrierpass::admin {
+
+api_answer read_tenant(const operation_context &context);
+api_answer create_tenant(const operation_context &context);
+// Creates or replaces it; with "If-None-Match: *" creates only.
+api_answer put_tenant(const operation_context &context);
+api_answer patch_tenant(const operation_context &context);
+// Begins its drain.
+api_answer remove_tenant(const operation_context &context);
+// Answers with the key's secret, this once.
+api_answer add_key(const operation_context &context);
+api_answer remove_key(const operation_context &context);
+
+} // namespace harrierpass::admin
--- a/tests/hosted/hosted_test.cpp
+++ b/tests/hosted/hosted_test.cpp
@@ -539,7 +539,7 @@
     CHECK(by(hers, "DELETE", "/v1/tenants/t1") == 403);
     CHECK(by(hers, "POST", "/v1/transactions", {{"steps", json::array()}}) == 403);
     CHECK(by(hers, "POST", "/v1/tenants/t1/keys") == 201);
-    for (const auto &each : admin::api::calls()) { // none is open to nobody
+    for (const auto &each : admin::api::operations()) { // none is open to nobody
         std::string path = each.path;
         CHECK(by("-", each.method, path) == 401);
     }
@@ -663,7 +663,7 @@
           "#/routes/0/path is not known");
     CHECK(first("{\"name\":\"\xff\"}").starts_with("# is no JSON"));
     for (const auto &each :
-         admin::api::calls()) { // values that nest without end, in a thread with a small stack
+         admin::api::operations()) { // values that nest without end, in a thread with a small stack
         admin::api_request with;
         with.body = "{\"tenants\":" + std::string(300000, '[') + std::string(300000, ']') + "}";
         CHECK(of.ask(each.method, each.path, {}, with).status >= 400);
