--- a/src/admin/change_writer.cpp
+++ b/src/admin/change_writer.cpp
@@ -25,7 +25,7 @@
                                        const std::string &hash, int status) {
     if (key.empty())
         return std::nullopt;
-    const auto before = context.tenants.keeps().answered(key);
+    const auto before = context.tenants.storage().answered(key);
     if (!before)
         return std::nullopt;
     if (before->request != hash)
--- a/src/admin/registry.cpp
+++ b/src/admin/registry.cpp
@@ -42,13 +42,13 @@
     return {after, {}, {}};
 }
 
-std::size_t registry::purge(const std::function<bool(std::uint64_t incarnation)> &quiet) {
+std::size_t registry::purge(const std::function<bool(std::uint64_t incarnation)> &is_idle) {
     std::size_t count = 0;
     change(
         [&](const tenants::tenant_set &set) {
             std::vector<tenants::change> steps;
             for (const auto &[name, one] : set.all())
-                if (one->is == tenants::state::draining && quiet(one->incarnation))
+                if (one->is == tenants::state::draining && is_idle(one->incarnation))
                     steps.push_back({tenants::change::kind::purge, *one, std::nullopt});
             count = steps.size();
             return steps;
--- a/src/admin/registry.hpp
+++ b/src/admin/registry.hpp
@@ -38,9 +38,9 @@
            const store::kept_answer &answer = {});
 
     // Ends the draining tenants of which nothing is open any more.
-    std::size_t purge(const std::function<bool(std::uint64_t incarnation)> &quiet);
+    std::size_t purge(const std::function<bool(std::uint64_t incarnation)> &is_idle);
 
-    store::tenant_store &keeps() { return store_; }
+    store::tenant_store &storage() { return store_; }
 
     // Told of each new version, by the writer's thread, after it is on disk.
     std::function<void(const tenants::set_ptr &)> on_change;
--- a/src/admin/set_operations.cpp
+++ b/src/admin/set_operations.cpp
@@ -158,7 +158,7 @@
     if (!size || !first)
         return problem(400, "limit is no number from 1 to 1000, or after no number", "bad_query");
     json items = json::array();
-    for (const auto &each : context.tenants.keeps().audit(*first, *size))
+    for (const auto &each : context.tenants.storage().audit(*first, *size))
         items.push_back(audit_form(each));
     json form = {{"items", items}};
     if (items.size() == *size)
--- a/src/hosted/admin_limits.hpp
+++ b/src/hosted/admin_limits.hpp
@@ -9,10 +9,10 @@
 struct admin_limits {
     std::size_t connections = 32;         // served at once; more wait to be accepted
     std::size_t body = 8UL * 1024 * 1024; // bytes; some 10,000 tenants
-    double greeting = 5;                  // s for a handshake
+    double handshake = 5;                 // s for a handshake
     double request = 10;                  // s from a request's first byte to its last
     double idle = 30;                     // s without a request
-    double answer = 10;                   // s for a caller to take an answer
+    double response_write = 10;           // s for a caller to take an answer
 };
 
 } // namespace harrierpass::hosted
--- a/src/hosted/admin_port.cpp
+++ b/src/hosted/admin_port.cpp
@@ -12,12 +12,12 @@
 constexpr double stop_check_interval = 0.1;       // s between looks whether it is over
 constexpr double capacity_check_interval = 0.005; // s between looks whether a connection has ended
 // s for which one connection without a thread may hold up accepting, at each step.
-constexpr double no_thread_greeting_limit = 0.25; // a handshake takes a round trip
+constexpr double no_thread_handshake_limit = 0.25; // a handshake takes a round trip
 constexpr double no_thread_write_limit = 0.05;
-constexpr double no_thread_linger = 0.05;
+constexpr double no_thread_close_limit = 0.05;
 // s for which a connection that has failed holds its thread, at each step.
 constexpr double failure_write_limit = 1;
-constexpr double failure_linger = 0.2;
+constexpr double failure_close_limit = 0.2;
 
 bool is_loopback(const address &where) {
     const auto text = to_text(where);
@@ -31,7 +31,7 @@
     : api_(calls), identity_(as), log_(lines), limits_(limits) {
     // Guards tokens against a network that reads along.
     if (as == nullptr && !is_loopback(where))
-        throw bad_identity(to_text(where) + ": administration without TLS is for loopback only");
+        throw invalid_identity(to_text(where) + ": administration without TLS is for loopback only");
     socket_ = listen_on(where);
     if (!socket_)
         throw std::system_error(errno, std::generic_category(), "cannot listen on " + to_text(where));
@@ -40,14 +40,14 @@
 }
 
 admin_port::~admin_port() {
-    over_ = true;
+    stopping_ = true;
     wake_thread(acceptor_->id());
     acceptor_.reset();
 }
 
 void admin_port::run() {
-    while (!over_) {
-        if (open_ >= limits_.connections) {
+    while (!stopping_) {
+        if (open_connections_ >= limits_.connections) {
             wait_on({}, capacity_check_interval);
             continue;
         }
@@ -55,7 +55,7 @@
         wait_on({&in, 1}, stop_check_interval);
         accept_one();
     }
-    while (open_ > 0)
+    while (open_connections_ > 0)
         wait_on({}, capacity_check_interval);
 }
 
@@ -67,18 +67,18 @@
 }
 
 bool admin_port::start_serving(tcp_socket &socket, const address &peer) {
-    ++open_;
+    ++open_connections_;
     std::shared_ptr<tcp_socket> shared;
     try {
         shared = std::make_shared<tcp_socket>(std::move(socket));
         if (start_detached([this, shared, from = to_text(peer)] {
                 serve(std::move(*shared), from);
-                --open_;
+                --open_connections_;
             }))
             return true;
     } catch (const std::bad_alloc &) { // as for want of a thread
     }
-    --open_;
+    --open_connections_;
     if (shared)
         socket = std::move(*shared);
     return false;
@@ -92,9 +92,9 @@
     }
     try {
         stream with(std::move(socket), identity_ != nullptr ? identity_->now() : nullptr);
-        if (with.greet(no_thread_greeting_limit))
+        if (with.handshake(no_thread_handshake_limit))
             with.write_fallback(proxy::fallback_response::unavailable, no_thread_write_limit);
-        with.close_gracefully(no_thread_linger);
+        with.close_gracefully(no_thread_close_limit);
     } catch (
         const std::bad_alloc &) { // none for the text of a TLS failure, which ends the connection as well
     }
@@ -103,12 +103,12 @@
 void admin_port::serve(tcp_socket socket, const std::string &peer) {
     stream with(std::move(socket), identity_ != nullptr ? identity_->now() : nullptr);
     const char *reason = "failed";
-    const session_context context{api_, log_, counters_, limits_, over_};
+    const session_context context{api_, log_, counters_, limits_, stopping_};
     admin_session session(context, with);
     try {
-        if (!with.greet(limits_.greeting)) {
+        if (!with.handshake(limits_.handshake)) {
             reason = "no_greeting";
-            log_.info("admin-greeting peer=", peer, " error=\"", with.why(), '"');
+            log_.info("admin-greeting peer=", peer, " error=\"", with.error(), '"');
         } else {
             reason = session.run();
             with.finish();
@@ -131,7 +131,7 @@
         with.write_fallback(executed ? proxy::fallback_response::bad_gateway
                                      : proxy::fallback_response::unavailable,
                             failure_write_limit);
-        with.close_gracefully(failure_linger);
+        with.close_gracefully(failure_close_limit);
     } catch (
         const std::bad_alloc &) { // none for the text of a TLS failure, which ends the connection as well
     }
--- a/src/hosted/admin_port.hpp
+++ b/src/hosted/admin_port.hpp
@@ -20,7 +20,7 @@
 
 class admin_port {
 public:
-    // Throws std::system_error where it cannot listen, bad_identity for a plain listener that is not on
+    // Throws std::system_error where it cannot listen, invalid_identity for a plain listener that is not on
     // loopback. `as` may be null: plain.
     admin_port(admin::api &calls, const identity *as, const address &where, log &lines,
                const admin_limits &limits = {});
@@ -30,7 +30,7 @@
 
     address at() const { return at_; }
     // How often each thing happened, by its word in the log.
-    std::map<std::string, std::uint64_t> counted() const { return counters_.counts(); }
+    std::map<std::string, std::uint64_t> event_counts() const { return counters_.counts(); }
 
 private:
     void run();
@@ -52,8 +52,8 @@
     const admin_limits limits_;
     tcp_socket socket_;
     address at_;
-    std::atomic<bool> over_ = false;
-    std::atomic<std::size_t> open_ = 0;
+    std::atomic<bool> stopping_ = false;
+    std::atomic<std::size_t> open_connections_ = 0;
     event_counters counters_;
     std::optional<joined_thread> acceptor_;
 };
--- a/src/hosted/admin_session.cpp
+++ b/src/hosted/admin_session.cpp
@@ -40,7 +40,7 @@
 }
 
 // Whether a field stands twice that two readers would take for different callers, or different writes.
-bool repeats_unique_field(const http_head &head) {
+bool has_duplicate_field(const http_head &head) {
     for (const std::string_view name : {"Authorization", "If-Match", "If-None-Match", "Idempotency-Key"})
         if (head.header_count(name) > 1)
             return true;
@@ -62,7 +62,7 @@
     if (const char *const reason = read_request())
         return reason;
     ++requests_;
-    if (repeats_unique_field(reader_->head()))
+    if (has_duplicate_field(reader_->head()))
         return refuse(400, "field_twice");
     const auto request = parsed_request();
     progress_ = request_progress::executing;
@@ -76,8 +76,8 @@
     std::copy(pipelined_.begin(), pipelined_.end(), buffer_.begin());
     reader_ = std::make_unique<http_reader>(buffer_, http_reader::message_kind::request, pipelined_.size());
     enlarged_ = buffer_.size() > buffer_size;
-    has_begun_ = !pipelined_.empty();
-    deadline_ = steady_now() + (has_begun_ ? context_.limits.request : context_.limits.idle);
+    has_received_ = !pipelined_.empty();
+    deadline_ = steady_now() + (has_received_ ? context_.limits.request : context_.limits.idle);
 }
 
 const char *admin_session::read_request() {
@@ -117,11 +117,11 @@
 }
 
 const char *admin_session::check_time() {
-    if (context_.stopping && !has_begun_)
+    if (context_.stopping && !has_received_)
         return "ends";
     if (steady_now() < deadline_)
         return nullptr;
-    return has_begun_ ? refuse(408, "too_slow") : "idle";
+    return has_received_ ? refuse(408, "too_slow") : "idle";
 }
 
 const char *admin_session::receive(http_reader::state &state) {
@@ -132,10 +132,10 @@
         return nullptr;
     }
     if (received == 0)
-        return has_begun_ ? "caller_cut" : "caller_closed";
+        return has_received_ ? "caller_cut" : "caller_closed";
     if (received < 0)
         return "caller_reset";
-    if (!std::exchange(has_begun_, true))
+    if (!std::exchange(has_received_, true))
         deadline_ = steady_now() + context_.limits.request;
     state = reader_->received(static_cast<std::size_t>(received));
     return nullptr;
@@ -186,7 +186,7 @@
     context_.counters.add(answer.why);
     const std::string text = response_head(answer, keeps_alive) + answer.body;
     progress_ = request_progress::responding;
-    return connection_.write(text, context_.limits.answer);
+    return connection_.write(text, context_.limits.response_write);
 }
 
 } // namespace harrierpass::hosted
--- a/src/hosted/admin_session.hpp
+++ b/src/hosted/admin_session.hpp
@@ -71,7 +71,7 @@
     std::unique_ptr<http_reader> reader_;
     std::string pipelined_; // what came after the request before
     double deadline_ = 0;   // of the request, or of the idle time before it
-    bool has_begun_ = false;
+    bool has_received_ = false;
     bool enlarged_ = false;
 };
 
--- a/src/hosted/tls.cpp
+++ b/src/hosted/tls.cpp
@@ -38,29 +38,29 @@
 std::shared_ptr<ssl_ctx_st> identity::load(const identity_files &from) {
     std::shared_ptr<SSL_CTX> made(SSL_CTX_new(TLS_server_method()), SSL_CTX_free);
     if (!made)
-        throw bad_identity("no TLS: " + last_error());
+        throw invalid_identity("no TLS: " + last_error());
     SSL_CTX_set_min_proto_version(made.get(), TLS1_3_VERSION);
     SSL_CTX_set_mode(made.get(), SSL_MODE_ENABLE_PARTIAL_WRITE | SSL_MODE_ACCEPT_MOVING_WRITE_BUFFER |
                                      SSL_MODE_RELEASE_BUFFERS);
     SSL_CTX_set_num_tickets(made.get(), 0); // guards against a session that outlives its identity
     if (SSL_CTX_use_certificate_chain_file(made.get(), from.certificate.c_str()) != 1)
-        throw bad_identity(from.certificate + ": is no certificate: " + last_error());
+        throw invalid_identity(from.certificate + ": is no certificate: " + last_error());
     const X509 *const own = SSL_CTX_get0_certificate(made.get());
     if (X509_cmp_current_time(X509_get0_notAfter(own)) <= 0)
-        throw bad_identity(from.certificate + ": its time is over");
+        throw invalid_identity(from.certificate + ": its time is over");
     if (X509_cmp_current_time(X509_get0_notBefore(own)) > 0)
-        throw bad_identity(from.certificate + ": its time has not come");
+        throw invalid_identity(from.certificate + ": its time has not come");
     if (SSL_CTX_use_PrivateKey_file(made.get(), from.key.c_str(), SSL_FILETYPE_PEM) != 1)
-        throw bad_identity(from.key + ": is no key of " + from.certificate + ": " + last_error());
+        throw invalid_identity(from.key + ": is no key of " + from.certificate + ": " + last_error());
     if (!from.callers.empty()) {
         if (SSL_CTX_load_verify_locations(made.get(), from.callers.c_str(), nullptr) != 1)
-            throw bad_identity(from.callers + ": is no authority: " + last_error());
+            throw invalid_identity(from.callers + ": is no authority: " + last_error());
         SSL_CTX_set_verify(made.get(), SSL_VERIFY_PEER | SSL_VERIFY_FAIL_IF_NO_PEER_CERT, nullptr);
     }
     return made;
 }
 
-void identity::renew() {
+void identity::reload() {
     auto next = load(files_);
     const std::lock_guard hold(lock_);
     now_ = std::move(next);
@@ -88,12 +88,12 @@
 bool stream::blocked(int got, double until) {
     const int wants = SSL_get_error(tls_, got);
     if (wants != SSL_ERROR_WANT_READ && wants != SSL_ERROR_WANT_WRITE) {
-        why_ = last_error();
+        error_ = last_error();
         return false;
     }
     const double left = until - steady_now();
     if (left <= 0) {
-        why_ = "too slow";
+        error_ = "too slow";
         return false;
     }
     pollfd one{socket_.get(), static_cast<short>(wants == SSL_ERROR_WANT_READ ? POLLIN : POLLOUT), 0};
@@ -101,7 +101,7 @@
     return true;
 }
 
-bool stream::greet(double limit) {
+bool stream::handshake(double limit) {
     if (!as_)
         return true;
     if (tls_ == nullptr)
@@ -132,7 +132,7 @@
     case SSL_ERROR_ZERO_RETURN:
         return 0;
     default:
-        why_ = last_error();
+        error_ = last_error();
         return -1;
     }
 }
--- a/src/hosted/tls.hpp
+++ b/src/hosted/tls.hpp
@@ -20,7 +20,7 @@
 namespace harrierpass::hosted {
 
 // A certificate, key or authority that cannot be used: the message names the file and the cause.
-struct bad_identity : std::runtime_error {
+struct invalid_identity : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
@@ -33,9 +33,9 @@
 class identity {
 public:
     explicit identity(identity_files from) : files_(std::move(from)), now_(load(files_)) {}
-    // Reads the files again. Throws bad_identity, also for a certificate that is out of its time or does not
-    // fit its key, and then the one before goes on.
-    void renew();
+    // Reads the files again. Throws invalid_identity, also for a certificate that is out of its time or does
+    // not fit its key, and then the one before goes on.
+    void reload();
     std::shared_ptr<ssl_ctx_st> now() const;
 
 private:
@@ -53,7 +53,7 @@
     stream(const stream &) = delete;
     stream &operator=(const stream &) = delete;
 
-    bool greet(double limit); // the handshake; false: it failed, and why() says how
+    bool handshake(double limit); // the handshake; false: it failed, and error() says how
     // As net's: bytes; 0: the other side ended; -1: broken; -2: nothing there now.
     long read(char *to, std::size_t size);
     bool write(std::string_view text, double limit);
@@ -65,7 +65,7 @@
     // finish(), then drops what the caller still sends, for at most `limit` s, so that the connection's end
     // does not destroy a response on its way, and closes.
     void close_gracefully(double limit);
-    const std::string &why() const { return why_; }
+    const std::string &error() const { return error_; }
     // The common name of a caller's certificate that its authority stands for; empty: there is none.
     std::string caller() const;
 
@@ -74,7 +74,7 @@
     tcp_socket socket_;
     std::shared_ptr<ssl_ctx_st> as_;
     ssl_st *tls_ = nullptr;
-    std::string why_;
+    std::string error_;
 };
 
 } // namespace harrierpass::hosted
--- a/src/tenants/model.cpp
+++ b/src/tenants/model.cpp
@@ -8,28 +8,28 @@
 namespace harrierpass::tenants {
 namespace {
 
-constexpr std::size_t most_name = 63;      // letters; a DNS label's
-constexpr std::size_t most_routes = 256;   // of a tenant; bounds a change and the index
-constexpr std::size_t most_use_cases = 64; // likewise
-constexpr std::size_t most_keys = 64;      // likewise; a rotation needs two
-constexpr std::size_t most_text = 255;     // bytes of a host, prefix, pool or note
-constexpr double most_rate = 1e9;          // queries a second; more is a mistake
-constexpr double most_time = 600;          // s
+constexpr std::size_t max_name = 63;      // letters; a DNS label's
+constexpr std::size_t max_routes = 256;   // of a tenant; bounds a change and the index
+constexpr std::size_t max_use_cases = 64; // likewise
+constexpr std::size_t max_keys = 64;      // likewise; a rotation needs two
+constexpr std::size_t max_text = 255;     // bytes of a host, prefix, pool or note
+constexpr double max_rate = 1e9;          // queries a second; more is a mistake
+constexpr double max_time = 600;          // s
 constexpr const char *small = "abcdefghijklmnopqrstuvwxyz0123456789";
 
-bool is_label(std::string_view text, std::size_t most, const char *more) {
+bool is_label(std::string_view text, std::size_t maximum, const char *more) {
     const std::string letters = std::string(small) + more;
-    return !text.empty() && text.size() <= most &&
+    return !text.empty() && text.size() <= maximum &&
            text.find_first_not_of(letters) == std::string_view::npos && text.front() != '-' &&
            text.back() != '-';
 }
 
 bool is_host(std::string_view text) {
-    if (text.empty() || text.size() > most_text)
+    if (text.empty() || text.size() > max_text)
         return false;
     while (!text.empty()) {
         const auto dot = text.find('.');
-        if (!is_label(text.substr(0, dot), most_name, "-") || dot + 1 == text.size())
+        if (!is_label(text.substr(0, dot), max_name, "-") || dot + 1 == text.size())
             return false;
         text = dot == std::string_view::npos ? std::string_view{} : text.substr(dot + 1);
     }
@@ -40,7 +40,7 @@
 bool is_prefix(std::string_view text) {
     if (text == "/")
         return true;
-    if (text.size() < 2 || text.size() > most_text || text[0] != '/' || text.back() == '/')
+    if (text.size() < 2 || text.size() > max_text || text[0] != '/' || text.back() == '/')
         return false;
     for (std::size_t at = 1; at <= text.size();) {
         const auto end = std::min(text.find('/', at), text.size());
@@ -63,8 +63,8 @@
         if (!good)
             faults.push_back({at, why});
     }
-    void number(double value, double least, double most, const std::string &at, const char *why) {
-        need(std::isfinite(value) && value >= least && value <= most, at, why);
+    void number(double value, double minimum, double maximum, const std::string &at, const char *why) {
+        need(std::isfinite(value) && value >= minimum && value <= maximum, at, why);
     }
 };
 
@@ -77,26 +77,25 @@
 namespace {
 
 void check_limits(checker &is, const tenant &of) {
-    is.number(of.limits.rate, 0, most_rate, "/limits/rate", "is not between 0 and 1e9 queries a second");
-    is.number(of.limits.burst, 0, most_rate, "/limits/burst", "is not between 0 and 1e9 queries");
+    is.number(of.limits.rate, 0, max_rate, "/limits/rate", "is not between 0 and 1e9 queries a second");
+    is.number(of.limits.burst, 0, max_rate, "/limits/burst", "is not between 0 and 1e9 queries");
     is.number(of.limits.work, 0, 1e6, "/limits/work", "is not between 0 and 1e6 s a second");
     is.number(of.limits.weight, 0.001, 1000, "/limits/weight", "is not between 0.001 and 1000");
 }
 
 // Returns the names.
 std::set<std::string_view> check_use_cases(checker &is, const tenant &of) {
-    is.need(of.use_cases.size() <= most_use_cases, "/use_cases", "are more than 64");
+    is.need(of.use_cases.size() <= max_use_cases, "/use_cases", "are more than 64");
     std::set<std::string_view> names;
     for (std::size_t i = 0; i < of.use_cases.size(); ++i) {
         const auto &use = of.use_cases[i];
         const std::string at = "/use_cases/" + std::to_string(i);
-        is.need(is_label(use.name, most_name, "-_"), at + "/name",
+        is.need(is_label(use.name, max_name, "-_"), at + "/name",
                 "is not 1 to 63 small letters, digits, '-' and '_'");
         is.need(names.insert(use.name).second, at + "/name", "stands twice");
-        is.number(use.decides.latency_objective, 0.001, most_time, at + "/slo_time",
-                  "is not between 0.001 and 600 s");
-        is.number(use.statement_timeout, 0.001, most_time, at + "/statement_timeout",
+        is.number(use.decides.latency_objective, 0.001, max_time, at + "/slo_time",
                   "is not between 0.001 and 600 s");
+        is.number(use.deadline, 0.001, max_time, at + "/statement_timeout", "is not between 0.001 and 600 s");
         is.number(use.decides.priority_weight, 0, 1000, at + "/importance", "is not between 0 and 1000");
         is.number(use.decides.late_value_share, 0, 1, at + "/tardy", "is not between 0 and 1");
         is.number(use.decides.deduplication_window, 0, 3600, at + "/window", "is not between 0 and 3600 s");
@@ -107,14 +106,14 @@
 }
 
 void check_routes(checker &is, const tenant &of, const std::set<std::string_view> &use_cases) {
-    is.need(of.routes.size() <= most_routes, "/routes", "are more than 256");
+    is.need(of.routes.size() <= max_routes, "/routes", "are more than 256");
     std::set<std::pair<std::string_view, std::string_view>> places;
     for (std::size_t i = 0; i < of.routes.size(); ++i) {
         const auto &each = of.routes[i];
         const std::string at = "/routes/" + std::to_string(i);
         is.need(is_host(each.host), at + "/host", "is no host name in small letters");
         is.need(is_prefix(each.prefix), at + "/prefix", "is no path of whole segments, as \"/\" or \"/a/b\"");
-        is.need(is_label(each.pool, most_name, "-"), at + "/pool",
+        is.need(is_label(each.pool, max_name, "-"), at + "/pool",
                 "is not 1 to 63 small letters, digits and '-'");
         is.need(use_cases.contains(each.use_case), at + "/use_case", "names none of the tenant's use cases");
         is.need(places.emplace(each.host, each.prefix).second, at,
@@ -124,14 +123,14 @@
 }
 
 void check_keys(checker &is, const tenant &of) {
-    is.need(of.keys.size() <= most_keys, "/keys", "are more than 64");
+    is.need(of.keys.size() <= max_keys, "/keys", "are more than 64");
     for (std::size_t i = 0; i < of.keys.size(); ++i) {
         const auto &key = of.keys[i];
         const std::string at = "/keys/" + std::to_string(i);
         is.need(is_label(key.id, 32, ""), at + "/id", "is not 1 to 32 small letters and digits");
         is.need(key.hash.size() == 64 && key.hash.find_first_not_of("0123456789abcdef") == std::string::npos,
                 at + "/hash", "is not 64 hexadecimal digits");
-        is.need(key.note.size() <= most_text, at + "/note", "is longer than 255 bytes");
+        is.need(key.note.size() <= max_text, at + "/note", "is longer than 255 bytes");
     }
 }
 
@@ -139,7 +138,7 @@
 
 std::vector<fault> check(const tenant &of) {
     checker is;
-    is.need(is_label(of.name, most_name, "-"), "/name",
+    is.need(is_label(of.name, max_name, "-"), "/name",
             "is not 1 to 63 small letters, digits and '-', which neither begins nor ends it");
     check_limits(is, of);
     check_routes(is, of, check_use_cases(is, of));
@@ -180,7 +179,7 @@
 public:
     explicit editor(const tenant_set &from) : to_(std::make_shared<tenant_set>(from)) {}
 
-    void take_out(const tenant_ptr &old) {
+    void remove(const tenant_ptr &old) {
         to_->by_name_.erase(old->name);
         for (const auto &key : old->keys)
             to_->keys_.erase(key.id);
@@ -195,7 +194,7 @@
     }
 
     // The faults that only the set can tell.
-    std::vector<fault> put_in(const tenant_ptr &one) {
+    std::vector<fault> insert(const tenant_ptr &one) {
         std::vector<fault> faults;
         for (std::size_t i = 0; i < one->routes.size(); ++i) {
             const auto &each = one->routes[i];
@@ -277,7 +276,7 @@
         next->incarnation = old ? old->incarnation : to_.next_incarnation();
         next->version = version_;
         if (old)
-            to_.take_out(old);
+            to_.remove(old);
         if (wanted.what != change::kind::purge)
             arriving_[step] = std::move(next);
     }
@@ -341,7 +340,7 @@
     void insert_new() {
         for (std::size_t step = 0; step < steps_.size(); ++step)
             if (arriving_[step])
-                for (const auto &each : to_.put_in(arriving_[step]))
+                for (const auto &each : to_.insert(arriving_[step]))
                     refuse(step, each.at, each.why);
     }
 
@@ -376,7 +375,7 @@
             one.version > version)
             bad.faults.push_back({at, "has numbers that the set never gave"});
         if (bad.faults.empty())
-            for (const auto &each : to.put_in(std::make_shared<tenant>(std::move(one))))
+            for (const auto &each : to.insert(std::make_shared<tenant>(std::move(one))))
                 bad.faults.push_back({at + each.at, each.why});
     }
     if (!bad.faults.empty())
--- a/src/tenants/model.hpp
+++ b/src/tenants/model.hpp
@@ -38,7 +38,7 @@
 struct named_use_case {
     std::string name;
     request_class decides;
-    double statement_timeout = 1; // s
+    double deadline = 1; // s
 };
 
 // A caller's key: what is kept is the hash of its secret, which was shown once.
--- a/src/tenants/text.cpp
+++ b/src/tenants/text.cpp
@@ -12,7 +12,7 @@
 
 using nlohmann::json;
 
-constexpr int most_depth = 16; // of nested values; a tenant's own nest three deep
+constexpr int max_depth = 16; // of nested values; a tenant's own nest three deep
 constexpr std::array<std::pair<const char *, state>, 3> states = {
     {{"staged", state::staged}, {"active", state::active}, {"draining", state::draining}}};
 json value_of(const tenant &of, bool secrets) {
@@ -35,7 +35,7 @@
                                      {"group", kind_name(deduplication_scope_names, each.decides.scope)},
                                      {"window", each.decides.deduplication_window},
                                      {"slo_time", each.decides.latency_objective},
-                                     {"statement_timeout", each.statement_timeout},
+                                     {"statement_timeout", each.deadline},
                                      {"importance", each.decides.priority_weight},
                                      {"tardy", each.decides.late_value_share}});
     for (const auto &each : of.routes)
@@ -93,11 +93,11 @@
             to = from.get<double>();
         };
     }
-    template <typename Whole> member whole(Whole &to, double most) {
-        return [this, &to, most](const json &from, const std::string &at) {
-            if (!from.is_number_unsigned() || from.get<double>() > most)
+    template <typename Number> member unsigned_number(Number &to, double maximum) {
+        return [this, &to, maximum](const json &from, const std::string &at) {
+            if (!from.is_number_unsigned() || from.get<double>() > maximum)
                 return blame(at, "is no whole number from 0 on, or too large a one");
-            to = static_cast<Whole>(from.get<std::uint64_t>());
+            to = static_cast<Number>(from.get<std::uint64_t>());
         };
     }
     template <typename Names, typename Kind> member one_of(const Names &names, Kind &to) {
@@ -129,9 +129,9 @@
                               {{"rate", is.number(to.limits.rate)},
                                {"burst", is.number(to.limits.burst)},
                                {"work", is.number(to.limits.work)},
-                               {"in_flight", is.whole(to.limits.in_flight, 1e9)},
-                               {"body", is.whole(to.limits.body, 1e12)},
-                               {"connections", is.whole(to.limits.connections, 1e9)},
+                               {"in_flight", is.unsigned_number(to.limits.in_flight, 1e9)},
+                               {"body", is.unsigned_number(to.limits.body, 1e12)},
+                               {"connections", is.unsigned_number(to.limits.connections, 1e9)},
                                {"weight", is.number(to.limits.weight)}});
                 }},
                {"use_cases", is.list([&](const json &value, const std::string &at) {
@@ -142,7 +142,7 @@
                                {"group", is.one_of(deduplication_scope_names, use.decides.scope)},
                                {"window", is.number(use.decides.deduplication_window)},
                                {"slo_time", is.number(use.decides.latency_objective)},
-                               {"statement_timeout", is.number(use.statement_timeout)},
+                               {"statement_timeout", is.number(use.deadline)},
                                {"importance", is.number(use.decides.priority_weight)},
                                {"tardy", is.number(use.decides.late_value_share)}});
                 })},
@@ -177,7 +177,7 @@
     std::vector<std::vector<std::string>> seen;
     bool deep = false, twice = false;
     const auto look = [&](int depth, json::parse_event_t event, json &value) {
-        deep = deep || depth > most_depth;
+        deep = deep || depth > max_depth;
         if (event == json::parse_event_t::object_start)
             seen.emplace_back();
         else if (event == json::parse_event_t::object_end)
--- a/tests/hosted/hosted_test.cpp
+++ b/tests/hosted/hosted_test.cpp
@@ -176,7 +176,7 @@
         for (const auto &each : all)
             steps.push_back({kind::create, each, {}});
         set = after(nobody, steps);
-        keeps.adopt(*set, 0);
+        keeps.apply(*set, 0);
     }
     std::uint64_t of(const std::string &name) const { return set->find(name)->incarnation; }
     // asks a second, by name; the share that was taken.
@@ -200,11 +200,11 @@
             due.pop();
             now = each.at;
             if (each.ends) {
-                keeps.leave(of(each.who), open, now);
+                keeps.finish(of(each.who), open, now);
                 continue;
             }
             ++asked[each.who];
-            const auto got = keeps.enter(of(each.who), 0, now);
+            const auto got = keeps.admit(of(each.who), 0, now);
             if (got.by == tenants::limit::none) {
                 ++taken[each.who];
                 due.push({now + open * (0.5 + part()), true, each.who});
@@ -214,7 +214,7 @@
         }
         for (; !due.empty(); due.pop())
             if (due.top().ends)
-                keeps.leave(of(due.top().who), open, end);
+                keeps.finish(of(due.top().who), open, end);
         now = end;
         for (auto &[name, count] : asked)
             count = taken[name] / count;
@@ -248,8 +248,8 @@
     CHECK(during.at("t0") * 1000 > 100); // its own part, and what is idle
     CHECK(during.at("t0") * 1000 < 700);
     CHECK(of.most <= 125);
-    const auto used = of.keeps.used(of.of("t0"));
-    CHECK(used.refused[static_cast<std::size_t>(tenants::limit::room)] > 1000);
+    const auto used = of.keeps.usage_of(of.of("t0"));
+    CHECK(used.refused[static_cast<std::size_t>(tenants::limit::capacity)] > 1000);
     CHECK(used.in_flight == 0);
     CHECK(of.keeps.in_flight() == 0);
 }
@@ -273,35 +273,35 @@
     crowd of(100, {one});
     const auto id = of.of("one");
     for (int i = 0; i < 5; ++i)
-        CHECK(of.keeps.enter(id, 0, 1).by == tenants::limit::none);
-    const auto late = of.keeps.enter(id, 0, 1);
+        CHECK(of.keeps.admit(id, 0, 1).by == tenants::limit::none);
+    const auto late = of.keeps.admit(id, 0, 1);
     CHECK(late.by == tenants::limit::rate);
-    CHECK(late.come_back == doctest::Approx(0.1));
-    CHECK(of.keeps.enter(id, 0, 1 + late.come_back * 0.9).by == tenants::limit::rate);
-    CHECK(of.keeps.enter(id, 0, 1 + late.come_back * 1.01).by == tenants::limit::none);
-    CHECK(of.keeps.enter(id, 101, 9).by == tenants::limit::body);
-    CHECK(of.keeps.enter(id, 101, 9).come_back == 0);
-    CHECK(of.keeps.enter(99, 0, 9).by == tenants::limit::unknown);
+    CHECK(late.retry_after == doctest::Approx(0.1));
+    CHECK(of.keeps.admit(id, 0, 1 + late.retry_after * 0.9).by == tenants::limit::rate);
+    CHECK(of.keeps.admit(id, 0, 1 + late.retry_after * 1.01).by == tenants::limit::none);
+    CHECK(of.keeps.admit(id, 101, 9).by == tenants::limit::body);
+    CHECK(of.keeps.admit(id, 101, 9).retry_after == 0);
+    CHECK(of.keeps.admit(99, 0, 9).by == tenants::limit::unknown);
     // A clock that jumps back gives nothing, and one that jumps ahead a bucket at most.
     for (int i = 0; i < 5; ++i)
-        CHECK(of.keeps.enter(id, 0, 9).by == tenants::limit::none);
-    CHECK(of.keeps.enter(id, 0, 3).by == tenants::limit::rate);
-    CHECK(of.keeps.enter(id, 0, 3.2).by == tenants::limit::none);
+        CHECK(of.keeps.admit(id, 0, 9).by == tenants::limit::none);
+    CHECK(of.keeps.admit(id, 0, 3).by == tenants::limit::rate);
+    CHECK(of.keeps.admit(id, 0, 3.2).by == tenants::limit::none);
     int taken = 0;
     for (int i = 0; i < 20; ++i)
-        taken += of.keeps.enter(id, 0, 1e6).by == tenants::limit::none;
+        taken += of.keeps.admit(id, 0, 1e6).by == tenants::limit::none;
     CHECK(taken == 5);
     // Work is charged when it is known.
     auto busy = made("busy");
     busy.limits.work = 0.5;
     crowd other(100, {busy}, 2); // of two proxies: a quarter of a second's work in each second
     const auto its = other.of("busy");
-    CHECK(other.keeps.enter(its, 0, 0).by == tenants::limit::none);
-    other.keeps.leave(its, 1, 0);
-    const auto debt = other.keeps.enter(its, 0, 0);
+    CHECK(other.keeps.admit(its, 0, 0).by == tenants::limit::none);
+    other.keeps.finish(its, 1, 0);
+    const auto debt = other.keeps.admit(its, 0, 0);
     CHECK(debt.by == tenants::limit::work);
-    CHECK(debt.come_back == doctest::Approx(3.01)); // (1 - 0.25) / 0.25, and a moment
-    CHECK(other.keeps.enter(its, 0, debt.come_back).by == tenants::limit::none);
+    CHECK(debt.retry_after == doctest::Approx(3.01)); // (1 - 0.25) / 0.25, and a moment
+    CHECK(other.keeps.admit(its, 0, debt.retry_after).by == tenants::limit::none);
 }
 
 TEST_CASE("limits over versions: drains, connections, and no trace of what is gone") {
@@ -313,23 +313,23 @@
     CHECK(of.keeps.connect(id));
     CHECK(of.keeps.connect(id));
     CHECK_FALSE(of.keeps.connect(id));
-    CHECK(of.keeps.enter(id, 0, 1).by == tenants::limit::none);
-    CHECK(of.keeps.enter(id, 0, 1).by == tenants::limit::in_flight);
+    CHECK(of.keeps.admit(id, 0, 1).by == tenants::limit::none);
+    CHECK(of.keeps.admit(id, 0, 1).by == tenants::limit::in_flight);
     of.set = after(of.set, {{kind::remove, one, {}}});
-    of.keeps.adopt(*of.set, 2);
-    CHECK(of.keeps.enter(id, 0, 2).by == tenants::limit::state);
-    CHECK_FALSE(of.keeps.quiet(id));
+    of.keeps.apply(*of.set, 2);
+    CHECK(of.keeps.admit(id, 0, 2).by == tenants::limit::state);
+    CHECK_FALSE(of.keeps.is_idle(id));
     of.set = after(of.set, {{kind::purge, one, {}}});
     of.set = after(of.set, {{kind::create, one, {}}});
-    of.keeps.adopt(*of.set, 3); // its name is another one's now, and the old one's query is still open
-    CHECK(of.keeps.enter(of.of("one"), 0, 3).by == tenants::limit::none);
-    CHECK(of.keeps.used(id).in_flight == 1);
-    of.keeps.leave(id, 0.1, 4);
+    of.keeps.apply(*of.set, 3); // its name is another one's now, and the old one's query is still open
+    CHECK(of.keeps.admit(of.of("one"), 0, 3).by == tenants::limit::none);
+    CHECK(of.keeps.usage_of(id).in_flight == 1);
+    of.keeps.finish(id, 0.1, 4);
     of.keeps.disconnect(id);
     of.keeps.disconnect(id);
-    of.keeps.leave(of.of("one"), 0.1, 4);
-    of.keeps.adopt(*of.set, 5);
-    CHECK(of.keeps.records() == 1);
+    of.keeps.finish(of.of("one"), 0.1, 4);
+    of.keeps.apply(*of.set, 5);
+    CHECK(of.keeps.account_count() == 1);
     CHECK(of.keeps.in_flight() == 0);
 }
 
@@ -915,22 +915,22 @@
         CHECK(plain.read().find("HTTP/1.1 200") == std::string::npos);
         // Another certificate, under the connection that is open.
         const paper next(at.at, "served", -10, 1000);
-        shown.renew();
+        shown.reload();
         CHECK(one.ask("GET", "/v1/version", "root.root-secret").substr(9, 3) == "200");
         CHECK(caller(port.at()).greeted);
         // One that is no good leaves the one before in force.
         std::ofstream(served.certificate) << "no certificate";
-        CHECK_THROWS_AS(shown.renew(), hosted::bad_identity);
+        CHECK_THROWS_AS(shown.reload(), hosted::invalid_identity);
         CHECK(caller(port.at()).greeted);
     }
     CHECK(text.str().find("root-secret") == std::string::npos);
     CHECK(text.str().find("reason=no_greeting") != std::string::npos);
     CHECK_THROWS_WITH_AS(hosted::identity({late.certificate, late.key, ""}),
-                         doctest::Contains("late.pem: its time is over"), hosted::bad_identity);
+                         doctest::Contains("late.pem: its time is over"), hosted::invalid_identity);
     CHECK_THROWS_WITH_AS(hosted::identity({eye.certificate, late.key, ""}),
-                         doctest::Contains("late.key: is no key of"), hosted::bad_identity);
+                         doctest::Contains("late.key: is no key of"), hosted::invalid_identity);
     CHECK_THROWS_WITH_AS(hosted::admin_port(of.calls, nullptr, *parse_address("0.0.0.0:0"), lines),
-                         doctest::Contains("for loopback only"), hosted::bad_identity);
+                         doctest::Contains("for loopback only"), hosted::invalid_identity);
 
     hosted::identity mutual({eye.certificate, eye.key, root.certificate});
     const hosted::admin_port port(of.calls, &mutual, any, lines);
@@ -993,7 +993,7 @@
                    "close\r\n\r\n");
     for (auto &each : many)
         CHECK(each->status() == "200");
-    const auto counted = port->counted();
+    const auto counted = port->event_counts();
     CHECK(counted.at("too_large") == 2); // the answer and the end
     CHECK(counted.at("malformed") == 6);
     CHECK(counted.at("too_slow") == 2);
@@ -1143,7 +1143,7 @@
             for (int i = 0; i < 3; ++i)
                 CHECK(answered() == unavailable_response);
         }
-        CHECK(port.counted().at("no_thread") == 3);
+        CHECK(port.event_counts().at("no_thread") == 3);
         CHECK(caller(port.at(), secure).ask("GET", "/v1/version", "root.root-secret").substr(9, 3) == "200");
     }
     CHECK(text.str().find("side=admin peer=127.0.0.1:") != std::string::npos);
@@ -1231,7 +1231,7 @@
     const double memory = held();
     REQUIRE(of.ask("POST", "/v1/transactions", {}, with).status == 200);
     tenants::limiter keeps(1000, 1);
-    keeps.adopt(*of.all.now(), 0);
+    keeps.apply(*of.all.now(), 0);
     MESSAGE("memory a tenant: ", (held() - memory) / 10000, " bytes");
     double began = seconds();
     for (int i = 0; i < 200; ++i)
@@ -1240,7 +1240,7 @@
     MESSAGE("a change on disk: ", (seconds() - began) / 200 * 1e6, " us");
     began = seconds();
     for (int i = 0; i < 20; ++i)
-        keeps.adopt(*of.all.now(), i);
+        keeps.apply(*of.all.now(), i);
     MESSAGE("a version adopted by the limits: ", (seconds() - began) / 20 * 1e6, " us");
     std::vector<std::string> hosts;
     hosts.reserve(10000);
@@ -1249,8 +1249,8 @@
     const auto query = [&](int i) {
         const auto set = of.all.now();
         const auto found = set->find(hosts[static_cast<std::size_t>(i) % 10000], "/lookup/7");
-        if (keeps.enter(found.of->incarnation, 0, i * 1e-5).by == tenants::limit::none)
-            keeps.leave(found.of->incarnation, 0.001, i * 1e-5);
+        if (keeps.admit(found.of->incarnation, 0, i * 1e-5).by == tenants::limit::none)
+            keeps.finish(found.of->incarnation, 0.001, i * 1e-5);
     };
     began = seconds();
     for (int i = 0; i < 200000; ++i)
