--- a/tests/hosted/hosted_test.cpp
+++ b/tests/hosted/hosted_test.cpp
@@ -13,6 +13,8 @@
 #include <atomic>
 #include <chrono>
 #include <csignal>
+#include <cstdlib>
+#include <dlfcn.h>
 #include <doctest/doctest.h>
 #include <filesystem>
 #include <fstream>
@@ -21,6 +23,7 @@
 #include <openssl/pem.h>
 #include <openssl/ssl.h>
 #include <openssl/x509v3.h>
+#include <pthread.h>
 #include <queue>
 #include <random>
 #include <sstream>
@@ -173,7 +176,7 @@
         for (const auto &each : all)
             steps.push_back({kind::create, each, {}});
         set = after(nobody, steps);
-        keeps.adopt(*set, 0);
+        keeps.apply(*set, 0);
     }
     std::uint64_t of(const std::string &name) const { return set->find(name)->incarnation; }
     // asks a second, by name; the share that was taken.
@@ -197,11 +200,11 @@
             due.pop();
             now = each.at;
             if (each.ends) {
-                keeps.leave(of(each.who), open, now);
+                keeps.finish(of(each.who), open, now);
                 continue;
             }
             ++asked[each.who];
-            const auto got = keeps.enter(of(each.who), 0, now);
+            const auto got = keeps.admit(of(each.who), 0, now);
             if (got.by == tenants::limit::none) {
                 ++taken[each.who];
                 due.push({now + open * (0.5 + part()), true, each.who});
@@ -211,7 +214,7 @@
         }
         for (; !due.empty(); due.pop())
             if (due.top().ends)
-                keeps.leave(of(due.top().who), open, end);
+                keeps.finish(of(due.top().who), open, end);
         now = end;
         for (auto &[name, count] : asked)
             count = taken[name] / count;
@@ -245,8 +248,8 @@
     CHECK(during.at("t0") * 1000 > 100); // its own part, and what is idle
     CHECK(during.at("t0") * 1000 < 700);
     CHECK(of.most <= 125);
-    const auto used = of.keeps.used(of.of("t0"));
-    CHECK(used.refused[static_cast<std::size_t>(tenants::limit::room)] > 1000);
+    const auto used = of.keeps.usage_of(of.of("t0"));
+    CHECK(used.refused[static_cast<std::size_t>(tenants::limit::capacity)] > 1000);
     CHECK(used.in_flight == 0);
     CHECK(of.keeps.in_flight() == 0);
 }
@@ -270,35 +273,35 @@
     crowd of(100, {one});
     const auto id = of.of("one");
     for (int i = 0; i < 5; ++i)
-        CHECK(of.keeps.enter(id, 0, 1).by == tenants::limit::none);
-    const auto late = of.keeps.enter(id, 0, 1);
+        CHECK(of.keeps.admit(id, 0, 1).by == tenants::limit::none);
+    const auto late = of.keeps.admit(id, 0, 1);
     CHECK(late.by == tenants::limit::rate);
-    CHECK(late.come_back == doctest::Approx(0.1));
-    CHECK(of.keeps.enter(id, 0, 1 + late.come_back * 0.9).by == tenants::limit::rate);
-    CHECK(of.keeps.enter(id, 0, 1 + late.come_back * 1.01).by == tenants::limit::none);
-    CHECK(of.keeps.enter(id, 101, 9).by == tenants::limit::body);
-    CHECK(of.keeps.enter(id, 101, 9).come_back == 0);
-    CHECK(of.keeps.enter(99, 0, 9).by == tenants::limit::unknown);
+    CHECK(late.retry_after == doctest::Approx(0.1));
+    CHECK(of.keeps.admit(id, 0, 1 + late.retry_after * 0.9).by == tenants::limit::rate);
+    CHECK(of.keeps.admit(id, 0, 1 + late.retry_after * 1.01).by == tenants::limit::none);
+    CHECK(of.keeps.admit(id, 101, 9).by == tenants::limit::body);
+    CHECK(of.keeps.admit(id, 101, 9).retry_after == 0);
+    CHECK(of.keeps.admit(99, 0, 9).by == tenants::limit::unknown);
     // A clock that jumps back gives nothing, and one that jumps ahead a bucket at most.
     for (int i = 0; i < 5; ++i)
-        CHECK(of.keeps.enter(id, 0, 9).by == tenants::limit::none);
-    CHECK(of.keeps.enter(id, 0, 3).by == tenants::limit::rate);
-    CHECK(of.keeps.enter(id, 0, 3.2).by == tenants::limit::none);
+        CHECK(of.keeps.admit(id, 0, 9).by == tenants::limit::none);
+    CHECK(of.keeps.admit(id, 0, 3).by == tenants::limit::rate);
+    CHECK(of.keeps.admit(id, 0, 3.2).by == tenants::limit::none);
     int taken = 0;
     for (int i = 0; i < 20; ++i)
-        taken += of.keeps.enter(id, 0, 1e6).by == tenants::limit::none;
+        taken += of.keeps.admit(id, 0, 1e6).by == tenants::limit::none;
     CHECK(taken == 5);
     // Work is charged when it is known.
     auto busy = made("busy");
     busy.limits.work = 0.5;
     crowd other(100, {busy}, 2); // of two proxies: a quarter of a second's work in each second
     const auto its = other.of("busy");
-    CHECK(other.keeps.enter(its, 0, 0).by == tenants::limit::none);
-    other.keeps.leave(its, 1, 0);
-    const auto debt = other.keeps.enter(its, 0, 0);
+    CHECK(other.keeps.admit(its, 0, 0).by == tenants::limit::none);
+    other.keeps.finish(its, 1, 0);
+    const auto debt = other.keeps.admit(its, 0, 0);
     CHECK(debt.by == tenants::limit::work);
-    CHECK(debt.come_back == doctest::Approx(3.01)); // (1 - 0.25) / 0.25, and a moment
-    CHECK(other.keeps.enter(its, 0, debt.come_back).by == tenants::limit::none);
+    CHECK(debt.retry_after == doctest::Approx(3.01)); // (1 - 0.25) / 0.25, and a moment
+    CHECK(other.keeps.admit(its, 0, debt.retry_after).by == tenants::limit::none);
 }
 
 TEST_CASE("limits over versions: drains, connections, and no trace of what is gone") {
@@ -310,23 +313,23 @@
     CHECK(of.keeps.connect(id));
     CHECK(of.keeps.connect(id));
     CHECK_FALSE(of.keeps.connect(id));
-    CHECK(of.keeps.enter(id, 0, 1).by == tenants::limit::none);
-    CHECK(of.keeps.enter(id, 0, 1).by == tenants::limit::in_flight);
+    CHECK(of.keeps.admit(id, 0, 1).by == tenants::limit::none);
+    CHECK(of.keeps.admit(id, 0, 1).by == tenants::limit::in_flight);
     of.set = after(of.set, {{kind::remove, one, {}}});
-    of.keeps.adopt(*of.set, 2);
-    CHECK(of.keeps.enter(id, 0, 2).by == tenants::limit::state);
-    CHECK_FALSE(of.keeps.quiet(id));
+    of.keeps.apply(*of.set, 2);
+    CHECK(of.keeps.admit(id, 0, 2).by == tenants::limit::state);
+    CHECK_FALSE(of.keeps.is_idle(id));
     of.set = after(of.set, {{kind::purge, one, {}}});
     of.set = after(of.set, {{kind::create, one, {}}});
-    of.keeps.adopt(*of.set, 3); // its name is another one's now, and the old one's query is still open
-    CHECK(of.keeps.enter(of.of("one"), 0, 3).by == tenants::limit::none);
-    CHECK(of.keeps.used(id).in_flight == 1);
-    of.keeps.leave(id, 0.1, 4);
+    of.keeps.apply(*of.set, 3); // its name is another one's now, and the old one's query is still open
+    CHECK(of.keeps.admit(of.of("one"), 0, 3).by == tenants::limit::none);
+    CHECK(of.keeps.usage_of(id).in_flight == 1);
+    of.keeps.finish(id, 0.1, 4);
     of.keeps.disconnect(id);
     of.keeps.disconnect(id);
-    of.keeps.leave(of.of("one"), 0.1, 4);
-    of.keeps.adopt(*of.set, 5);
-    CHECK(of.keeps.records() == 1);
+    of.keeps.finish(of.of("one"), 0.1, 4);
+    of.keeps.apply(*of.set, 5);
+    CHECK(of.keeps.account_count() == 1);
     CHECK(of.keeps.in_flight() == 0);
 }
 
@@ -536,7 +539,7 @@
     CHECK(by(hers, "DELETE", "/v1/tenants/t1") == 403);
     CHECK(by(hers, "POST", "/v1/transactions", {{"steps", json::array()}}) == 403);
     CHECK(by(hers, "POST", "/v1/tenants/t1/keys") == 201);
-    for (const auto &each : admin::api::calls()) { // none is open to nobody
+    for (const auto &each : admin::api::operations()) { // none is open to nobody
         std::string path = each.path;
         CHECK(by("-", each.method, path) == 401);
     }
@@ -660,7 +663,7 @@
           "#/routes/0/path is not known");
     CHECK(first("{\"name\":\"\xff\"}").starts_with("# is no JSON"));
     for (const auto &each :
-         admin::api::calls()) { // values that nest without end, in a thread with a small stack
+         admin::api::operations()) { // values that nest without end, in a thread with a small stack
         admin::api_request with;
         with.body = "{\"tenants\":" + std::string(300000, '[') + std::string(300000, ']') + "}";
         CHECK(of.ask(each.method, each.path, {}, with).status >= 400);
@@ -833,6 +836,7 @@
         setsockopt(socket.get(), SOL_SOCKET, SO_RCVTIMEO, &most, sizeof most);
         if (!secure)
             return;
+        std::signal(SIGPIPE, SIG_IGN); // OpenSSL writes to a connection that may be closed
         with.reset(SSL_CTX_new(TLS_client_method()), SSL_CTX_free);
         SSL_CTX_set_max_proto_version(with.get(), version);
         if (shows != nullptr) {
@@ -911,22 +915,22 @@
         CHECK(plain.read().find("HTTP/1.1 200") == std::string::npos);
         // Another certificate, under the connection that is open.
         const paper next(at.at, "served", -10, 1000);
-        shown.renew();
+        shown.reload();
         CHECK(one.ask("GET", "/v1/version", "root.root-secret").substr(9, 3) == "200");
         CHECK(caller(port.at()).greeted);
         // One that is no good leaves the one before in force.
         std::ofstream(served.certificate) << "no certificate";
-        CHECK_THROWS_AS(shown.renew(), hosted::bad_identity);
+        CHECK_THROWS_AS(shown.reload(), hosted::invalid_identity);
         CHECK(caller(port.at()).greeted);
     }
     CHECK(text.str().find("root-secret") == std::string::npos);
     CHECK(text.str().find("reason=no_greeting") != std::string::npos);
     CHECK_THROWS_WITH_AS(hosted::identity({late.certificate, late.key, ""}),
-                         doctest::Contains("late.pem: its time is over"), hosted::bad_identity);
+                         doctest::Contains("late.pem: its time is over"), hosted::invalid_identity);
     CHECK_THROWS_WITH_AS(hosted::identity({eye.certificate, late.key, ""}),
-                         doctest::Contains("late.key: is no key of"), hosted::bad_identity);
+                         doctest::Contains("late.key: is no key of"), hosted::invalid_identity);
     CHECK_THROWS_WITH_AS(hosted::admin_port(of.calls, nullptr, *parse_address("0.0.0.0:0"), lines),
-                         doctest::Contains("for loopback only"), hosted::bad_identity);
+                         doctest::Contains("for loopback only"), hosted::invalid_identity);
 
     hosted::identity mutual({eye.certificate, eye.key, root.certificate});
     const hosted::admin_port port(of.calls, &mutual, any, lines);
@@ -989,7 +993,7 @@
                    "close\r\n\r\n");
     for (auto &each : many)
         CHECK(each->status() == "200");
-    const auto counted = port->counted();
+    const auto counted = port->event_counts();
     CHECK(counted.at("too_large") == 2); // the answer and the end
     CHECK(counted.at("malformed") == 6);
     CHECK(counted.at("too_slow") == 2);
@@ -997,6 +1001,218 @@
     CHECK(of.all.now()->version() == 0);
 }
 
+// ---- The listener without threads or memory. The calls of the system that fail are replaced in this
+// program; they pass everything on unless a test has armed them.
+
+// What is short while a test has armed it.
+struct shortage_script {
+    std::atomic<bool> no_threads = false;              // detached threads, as the listener starts them
+    std::atomic<bool> no_memory_after_accept = false;  // on the thread that accepts
+    std::atomic<bool> no_memory_after_receive = false; // on a detached thread that has received bytes
+};
+
+shortage_script &shortage() {
+    static shortage_script instance;
+    return instance;
+}
+
+// Arms one shortage for as long as it lives.
+class scoped_shortage {
+public:
+    explicit scoped_shortage(std::atomic<bool> &armed) : armed_(armed) { armed_.store(true); }
+    ~scoped_shortage() { armed_ = false; }
+    scoped_shortage(const scoped_shortage &) = delete;
+    scoped_shortage &operator=(const scoped_shortage &) = delete;
+
+private:
+    std::atomic<bool> &armed_;
+};
+
+thread_local bool allocations_fail = false;
+thread_local bool is_detached_thread = false;
+
+// What pthread_create() was given, for a thread that notes that it is detached.
+struct thread_start {
+    void *(*routine)(void *);
+    void *argument;
+};
+
+void *run_detached(void *argument) {
+    const std::unique_ptr<thread_start> start(static_cast<thread_start *>(argument));
+    is_detached_thread = true;
+    return start->routine(start->argument);
+}
+
+template <typename Function> Function next_symbol(const char *name) {
+    return reinterpret_cast<Function>(dlsym(RTLD_NEXT, name));
+}
+
+} // namespace harrierpass
+
+extern "C" {
+
+int pthread_create(pthread_t *newthread, const pthread_attr_t *attr, void *(*start_routine)(void *),
+                   void *arg) {
+    using namespace harrierpass;
+    using create = int (*)(pthread_t *, const pthread_attr_t *, void *(*)(void *), void *);
+    static const auto real = next_symbol<create>("pthread_create");
+    int detach_state = PTHREAD_CREATE_JOINABLE;
+    if (attr != nullptr)
+        pthread_attr_getdetachstate(attr, &detach_state);
+    if (detach_state != PTHREAD_CREATE_DETACHED)
+        return real(newthread, attr, start_routine, arg);
+    if (shortage().no_threads)
+        return EAGAIN;
+    auto start = std::make_unique<thread_start>(thread_start{start_routine, arg});
+    const int error = real(newthread, attr, run_detached, start.get());
+    if (error == 0)
+        static_cast<void>(start.release()); // run_detached() owns it
+    return error;
+}
+
+int accept4(int fd, sockaddr *addr, socklen_t *addr_len, int flags) {
+    using namespace harrierpass;
+    static const auto real = next_symbol<int (*)(int, sockaddr *, socklen_t *, int)>("accept4");
+    const int accepted = real(fd, addr, addr_len, flags);
+    allocations_fail = accepted >= 0 && shortage().no_memory_after_accept;
+    return accepted;
+}
+
+ssize_t recv(int fd, void *buf, size_t n, int flags) {
+    using namespace harrierpass;
+    static const auto real = next_symbol<ssize_t (*)(int, void *, size_t, int)>("recv");
+    const ssize_t received = real(fd, buf, n, flags);
+    if (is_detached_thread)
+        allocations_fail = received > 0 && shortage().no_memory_after_receive;
+    return received;
+}
+}
+
+// Not inlined: the compiler would take each free() for a mismatch of the new expression that it can see.
+[[gnu::noinline]] void *operator new(std::size_t size) {
+    if (harrierpass::allocations_fail)
+        throw std::bad_alloc();
+    if (void *const memory = std::malloc(size)) // NOLINT(cppcoreguidelines-no-malloc): what new is made of
+        return memory;
+    throw std::bad_alloc();
+}
+
+[[gnu::noinline]] void operator delete(void *memory) noexcept {
+    std::free(memory); // NOLINT(cppcoreguidelines-no-malloc)
+}
+
+[[gnu::noinline]] void operator delete(void *memory, std::size_t) noexcept {
+    std::free(memory); // NOLINT(cppcoreguidelines-no-malloc)
+}
+
+namespace harrierpass {
+
+const std::string unavailable_response =
+    "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
+const std::string bad_gateway_response =
+    "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
+const std::string version_request =
+    "GET /v1/version HTTP/1.1\r\nAuthorization: Bearer root.root-secret\r\n\r\n";
+
+// The answer to one request, without TLS.
+std::string plain_answer(const address &to) {
+    caller one(to, false);
+    one.send(version_request);
+    return one.read();
+}
+
+TEST_CASE("the listener: no thread for a connection is answered, and accepting goes on") {
+    const folder at;
+    service of(at.db());
+    const paper root(at.at, "authority", -10, 1000), served(at.at, "served", -10, 1000, &root);
+    std::ostringstream text;
+    log lines(text, log_level::info);
+    hosted::identity shown({served.certificate, served.key, ""});
+    const auto any = *parse_address("127.0.0.1:0");
+    for (const bool secure : {false, true}) {
+        CAPTURE(secure);
+        const hosted::admin_port port(of.calls, secure ? &shown : nullptr, any, lines);
+        const auto answered = [&] {
+            caller one(port.at(), secure);
+            if (!secure)
+                one.send(version_request);
+            return one.read(); // with TLS the answer comes without a request
+        };
+        {
+            const scoped_shortage armed(shortage().no_threads);
+            for (int i = 0; i < 3; ++i)
+                CHECK(answered() == unavailable_response);
+        }
+        CHECK(port.event_counts().at("no_thread") == 3);
+        CHECK(caller(port.at(), secure).ask("GET", "/v1/version", "root.root-secret").substr(9, 3) == "200");
+    }
+    CHECK(text.str().find("side=admin peer=127.0.0.1:") != std::string::npos);
+    CHECK(text.str().find("requests=0 reason=no_thread") != std::string::npos);
+}
+
+TEST_CASE("the listener: a connection that never speaks holds up accepting for a bounded time only") {
+    const folder at;
+    service of(at.db());
+    const paper served(at.at, "served", -10, 1000);
+    std::ostringstream text;
+    log lines(text, log_level::info);
+    hosted::identity shown({served.certificate, served.key, ""});
+    const hosted::admin_port port(of.calls, &shown, *parse_address("127.0.0.1:0"), lines);
+    const scoped_shortage armed(shortage().no_threads);
+    std::vector<std::unique_ptr<caller>> silent;
+    silent.reserve(3);
+    for (int i = 0; i < 3; ++i)
+        silent.push_back(std::make_unique<caller>(port.at(), false));
+    const double began = steady_now();
+    CHECK(caller(port.at()).read() == unavailable_response);
+    CHECK(steady_now() - began < 5); // less than the handshake limit of one served connection
+}
+
+TEST_CASE("the listener: no memory for a connection is answered, and the program goes on") {
+    const folder at;
+    service of(at.db());
+    const paper served(at.at, "served", -10, 1000);
+    std::ostringstream text;
+    log lines(text, log_level::info);
+    hosted::identity shown({served.certificate, served.key, ""});
+    const auto any = *parse_address("127.0.0.1:0");
+    const hosted::admin_port plain(of.calls, nullptr, any, lines), secure(of.calls, &shown, any, lines);
+    {
+        const scoped_shortage armed(shortage().no_memory_after_accept);
+        CHECK(plain_answer(plain.at()) == unavailable_response);
+        CHECK(plain_answer(plain.at()) == unavailable_response);
+        CHECK(caller(secure.at()).read() == unavailable_response);
+    }
+    CHECK(plain_answer(plain.at()).substr(9, 3) == "200");
+    CHECK(caller(secure.at()).ask("GET", "/v1/version", "root.root-secret").substr(9, 3) == "200");
+    {
+        const scoped_shortage armed(shortage().no_memory_after_receive);
+        CHECK(plain_answer(plain.at()) == unavailable_response);
+    }
+    CHECK(plain_answer(plain.at()).substr(9, 3) == "200");
+}
+
+TEST_CASE("the listener: memory that ends during a change is answered as possibly executed") {
+    const folder at;
+    service of(at.db());
+    const paper served(at.at, "served", -10, 1000);
+    std::ostringstream text;
+    log lines(text, log_level::info);
+    hosted::identity shown({served.certificate, served.key, ""});
+    of.all.on_change = [](const set_ptr &) { throw std::bad_alloc(); };
+    for (const bool secure : {false, true}) {
+        CAPTURE(secure);
+        const hosted::admin_port port(of.calls, secure ? &shown : nullptr, *parse_address("127.0.0.1:0"),
+                                      lines);
+        const std::string name = secure ? "t2" : "t1";
+        caller one(port.at(), secure);
+        CHECK(one.ask("PUT", "/v1/tenants/" + name, "root.root-secret", body_of(name).dump()) ==
+              bad_gateway_response);
+        CHECK(of.all.now()->find(name));
+    }
+    CHECK(text.str().find("reason=no_memory") != std::string::npos);
+}
+
 // Long, and of figures: harrierpass_hosted_tests -tc="*thousand*" --no-skip
 TEST_CASE("ten thousand tenants" * doctest::skip()) {
     const auto seconds = [] {
@@ -1015,7 +1231,7 @@
     const double memory = held();
     REQUIRE(of.ask("POST", "/v1/transactions", {}, with).status == 200);
     tenants::limiter keeps(1000, 1);
-    keeps.adopt(*of.all.now(), 0);
+    keeps.apply(*of.all.now(), 0);
     MESSAGE("memory a tenant: ", (held() - memory) / 10000, " bytes");
     double began = seconds();
     for (int i = 0; i < 200; ++i)
@@ -1024,7 +1240,7 @@
     MESSAGE("a change on disk: ", (seconds() - began) / 200 * 1e6, " us");
     began = seconds();
     for (int i = 0; i < 20; ++i)
-        keeps.adopt(*of.all.now(), i);
+        keeps.apply(*of.all.now(), i);
     MESSAGE("a version adopted by the limits: ", (seconds() - began) / 20 * 1e6, " us");
     std::vector<std::string> hosts;
     hosts.reserve(10000);
@@ -1033,8 +1249,8 @@
     const auto query = [&](int i) {
         const auto set = of.all.now();
         const auto found = set->find(hosts[static_cast<std::size_t>(i) % 10000], "/lookup/7");
-        if (keeps.enter(found.of->incarnation, 0, i * 1e-5).by == tenants::limit::none)
-            keeps.leave(found.of->incarnation, 0.001, i * 1e-5);
+        if (keeps.admit(found.of->incarnation, 0, i * 1e-5).by == tenants::limit::none)
+            keeps.finish(found.of->incarnation, 0.001, i * 1e-5);
     };
     began = seconds();
     for (int i = 0; i < 200000; ++i)
