--- a/src/testbed/links/conditions.cpp
+++ b/src/testbed/links/conditions.cpp
@@ -7,7 +7,7 @@
 namespace harrierpass::testbed {
 namespace {
 
-constexpr std::uint64_t most_ends = 1U << 24; // of one kind; keeps a link's number whole
+constexpr std::uint64_t max_endpoints_per_kind = 1U << 24; // of one kind; keeps a link's number whole
 constexpr std::array<link_kind, 4> kinds = {link_kind::client_proxy, link_kind::proxy_server,
                                             link_kind::proxy_list, link_kind::proxy_proxy};
 
@@ -18,7 +18,7 @@
 } // namespace
 
 link_table::link_table(const experiment &given, index servers, std::uint32_t seed)
-    : given_(given), servers_(servers), touched_(given.links.size()) {
+    : experiment_(given), servers_(servers), affected_(given.links.size()) {
     const index proxies = given.proxies.count;
     for (std::size_t i = 0; i < given.links.size(); ++i) {
         const auto &fault = given.links[i];
@@ -36,20 +36,22 @@
                     const link_id id{kind, near, far};
                     // Chance is asked for each pair, so that one link's luck does not hang on another's.
                     const bool chosen = from.happens(fault.share);
-                    if (!chosen || !touches(fault, id) || (kind == link_kind::proxy_proxy && near == far))
+                    if (!chosen || !affects(fault, id) || (kind == link_kind::proxy_proxy && near == far))
                         continue;
                     links_[number(id)].id = id;
-                    touched_[i].push_back(number(id));
+                    affected_[i].push_back(number(id));
                 }
         }
     }
 }
 
 std::uint64_t link_table::number(const link_id &which) const {
-    return (static_cast<std::uint64_t>(which.kind) * most_ends + which.near) * most_ends + which.far;
+    return (static_cast<std::uint64_t>(which.kind) * max_endpoints_per_kind + which.near) *
+               max_endpoints_per_kind +
+           which.far;
 }
 
-bool link_table::touches(const link_fault_spec &fault, const link_id &which) const {
+bool link_table::affects(const link_fault_spec &fault, const link_id &which) const {
     const auto proxy_in = [&](index one) {
         return fault.kind == link_fault_kind::partition ? has(fault.proxies, one)
                                                         : fault.proxies.empty() || has(fault.proxies, one);
@@ -81,20 +83,20 @@
     return false;
 }
 
-way_now link_table::datagrams(index from, index to) const {
-    way_now made = now({link_kind::proxy_proxy, from, to}).there;
-    const way_now &that = now({link_kind::proxy_proxy, to, from}).back;
+direction_conditions link_table::datagram_conditions(index from, index to) const {
+    direction_conditions made = conditions({link_kind::proxy_proxy, from, to}).forward;
+    const direction_conditions &that = conditions({link_kind::proxy_proxy, to, from}).backward;
     made.dropped = made.dropped || that.dropped;
     made.delay = std::max(made.delay, that.delay);
     made.jitter = std::max(made.jitter, that.jitter);
-    made.lost = std::max(made.lost, that.lost);
-    made.doubled = std::max(made.doubled, that.doubled);
-    made.reordered = std::max(made.reordered, that.reordered);
+    made.loss_share = std::max(made.loss_share, that.loss_share);
+    made.duplicate_share = std::max(made.duplicate_share, that.duplicate_share);
+    made.reorder_share = std::max(made.reorder_share, that.reorder_share);
     return made;
 }
 
-const link_now &link_table::now(const link_id &which) const {
-    static const link_now well;
+const link_conditions &link_table::conditions(const link_id &which) const {
+    static const link_conditions well;
     const auto found = links_.find(number(which));
     return found == links_.end() ? well : found->second.now;
 }
@@ -113,11 +115,11 @@
 }
 
 // From all faults that hold, so that one that ends leaves what others bring.
-link_now link_table::worked_out(const entry &of) const {
-    link_now made;
+link_conditions link_table::combined_conditions(const entry &of) const {
+    link_conditions made;
     for (const std::size_t each : of.active) {
-        const auto &fault = given_.links[each];
-        const auto add = [&](way_now &to) {
+        const auto &fault = experiment_.links[each];
+        const auto add = [&](direction_conditions &to) {
             const bool drops = fault.kind == link_fault_kind::drop ||
                                fault.kind == link_fault_kind::one_way ||
                                fault.kind == link_fault_kind::partition;
@@ -125,15 +127,16 @@
             to.delay += fault.delay;
             to.jitter += fault.jitter;
             if (fault.pace > 0)
-                to.pace = to.pace > 0 ? std::min(to.pace, fault.pace) : fault.pace;
-            to.lost = std::max(to.lost, fault.lost);
-            to.doubled = std::max(to.doubled, fault.doubled);
-            to.reordered = std::max(to.reordered, fault.reordered);
+                to.bytes_per_second =
+                    to.bytes_per_second > 0 ? std::min(to.bytes_per_second, fault.pace) : fault.pace;
+            to.loss_share = std::max(to.loss_share, fault.lost);
+            to.duplicate_share = std::max(to.duplicate_share, fault.doubled);
+            to.reorder_share = std::max(to.reorder_share, fault.reordered);
         };
         if (fault.there)
-            add(made.there);
+            add(made.forward);
         if (fault.back)
-            add(made.back);
+            add(made.backward);
         made.resets = made.resets || fault.kind == link_fault_kind::reset;
         made.half_open = made.half_open || fault.kind == link_fault_kind::half_open;
     }
@@ -141,14 +144,14 @@
 }
 
 void link_table::apply(std::size_t fault, bool begins) {
-    for (const std::uint64_t each : touched_.at(fault)) {
+    for (const std::uint64_t each : affected_.at(fault)) {
         auto &of = links_.at(each);
         if (begins)
             of.active.push_back(fault);
         else if (const auto at = std::find(of.active.begin(), of.active.end(), fault); at != of.active.end())
             of.active.erase(at);
-        const link_now before = of.now;
-        of.now = worked_out(of);
+        const link_conditions before = of.now;
+        of.now = combined_conditions(of);
         if (!(before == of.now) && on_change)
             on_change(of.id, before, of.now);
     }
--- a/src/testbed/links/conditions.hpp
+++ b/src/testbed/links/conditions.hpp
@@ -19,25 +19,30 @@
     bool operator==(const link_id &) const = default;
 };
 
-enum class direction : std::uint8_t { there, back }; // from the near end to the far one; from the far end
+enum class direction : std::uint8_t {
+    forward,
+    backward
+}; // from the near end to the far one; from the far end
 
-struct way_now {
+struct direction_conditions {
     bool dropped = false;
-    double delay = 0, jitter = 0;                // s more
-    double pace = 0;                             // bytes a second; 0: any
-    double lost = 0, doubled = 0, reordered = 0; // shares of datagrams
-    bool operator==(const way_now &) const = default;
+    double delay = 0, jitter = 0;                                  // s more
+    double bytes_per_second = 0;                                   // bytes a second; 0: any
+    double loss_share = 0, duplicate_share = 0, reorder_share = 0; // shares of datagrams
+    bool operator==(const direction_conditions &) const = default;
 };
 
-struct link_now {
-    way_now there, back;
+struct link_conditions {
+    direction_conditions forward, backward;
     bool resets = false;    // whatever comes up breaks
     bool half_open = false; // what was up when it began is dead at the far end
     // What connects needs both directions.
-    bool comes_up() const { return !there.dropped && !back.dropped; }
-    bool troubled() const { return !(*this == link_now{}); }
-    const way_now &at(direction to) const { return to == direction::there ? there : back; }
-    bool operator==(const link_now &) const = default;
+    bool can_connect() const { return !forward.dropped && !backward.dropped; }
+    bool impaired() const { return !(*this == link_conditions{}); }
+    const direction_conditions &at(direction to) const {
+        return to == direction::forward ? forward : backward;
+    }
+    bool operator==(const link_conditions &) const = default;
 };
 
 class link_table {
@@ -45,32 +50,32 @@
     // `servers`: with those that join later, and the origin.
     link_table(const experiment &given, index servers, std::uint32_t seed);
 
-    bool names(const link_id &which) const { return links_.contains(number(which)); }
-    const link_now &now(const link_id &which) const;
+    bool contains(const link_id &which) const { return links_.contains(number(which)); }
+    const link_conditions &conditions(const link_id &which) const;
     // What a datagram from one proxy to another meets: either of the two may be the end that a fault names.
-    way_now datagrams(index from, index to) const;
+    direction_conditions datagram_conditions(index from, index to) const;
     std::vector<link_id> all() const; // that are named, in order
     std::size_t size() const { return links_.size(); }
 
     // One of the experiment's link faults, by its place there.
     void apply(std::size_t fault, bool begins);
     // A link's state has changed; `before` is what it was.
-    std::function<void(const link_id &, const link_now &before, const link_now &now)> on_change;
+    std::function<void(const link_id &, const link_conditions &before, const link_conditions &now)> on_change;
 
 private:
     struct entry {
         link_id id;
-        link_now now;
+        link_conditions now;
         std::vector<std::size_t> active; // faults that hold, each as often as it began
     };
     std::uint64_t number(const link_id &which) const;
-    bool touches(const link_fault_spec &fault, const link_id &which) const;
-    link_now worked_out(const entry &of) const;
+    bool affects(const link_fault_spec &fault, const link_id &which) const;
+    link_conditions combined_conditions(const entry &of) const;
 
-    const experiment &given_;
+    const experiment &experiment_;
     const index servers_;
-    std::unordered_map<std::uint64_t, entry> links_;  // never iterated but to sort
-    std::vector<std::vector<std::uint64_t>> touched_; // by fault, in order
+    std::unordered_map<std::uint64_t, entry> links_;   // never iterated but to sort
+    std::vector<std::vector<std::uint64_t>> affected_; // by fault, in order
 };
 
 } // namespace harrierpass::testbed
--- a/src/testbed/links/relay.cpp
+++ b/src/testbed/links/relay.cpp
@@ -17,20 +17,21 @@
 namespace harrierpass::testbed {
 namespace {
 
-constexpr std::size_t piece_size = 65536;       // bytes read at a time
-constexpr std::size_t most_held = 262144;       // bytes of a direction that wait; more stay with their sender
-constexpr std::size_t most_datagram = 256;      // bytes; the platform's limit
-constexpr double reorder_by = 0.02;             // s that a datagram is held so that later ones pass it
+constexpr std::size_t read_size = 65536; // bytes read at a time
+constexpr std::size_t max_queued_bytes =
+    262144;                                     // bytes of a direction that wait; more stay with their sender
+constexpr std::size_t max_datagram_bytes = 256; // bytes; the platform's limit
+constexpr double reorder_delay = 0.02;          // s that a datagram is held so that later ones pass it
 constexpr std::uint32_t relay_net = 0x7f100000; // 127.16.0.0 and on: links' own addresses
 constexpr std::uint32_t datagram_net = 0x7fc80000; // 127.200.0.0 and on
 
-void reset_soon(const tcp_socket &of) {
+void reset_on_close(const tcp_socket &of) {
     const linger none_left{1, 0};
     setsockopt(of.get(), SOL_SOCKET, SO_LINGER, &none_left, sizeof none_left);
 }
 
 // Whether the other side has ended its sending.
-bool has_ended(const tcp_socket &of) {
+bool peer_has_ended(const tcp_socket &of) {
     tcp_info info{};
     socklen_t size = sizeof info;
     return getsockopt(of.get(), IPPROTO_TCP, TCP_INFO, &info, &size) != 0 ||
@@ -38,7 +39,7 @@
 }
 
 // Listeners with a filter that takes nothing: the system answers no connection, as if nobody were there.
-void filter(const tcp_socket &on, bool drops) {
+void set_drop_filter(const tcp_socket &on, bool drops) {
     sock_filter nothing{BPF_RET | BPF_K, 0, 0, 0};
     const sock_fprog all{1, &nothing};
     const int unused = 0;
@@ -51,10 +52,10 @@
 } // namespace
 
 relay::relay(loop &in, const link_table &table, std::uint32_t seed)
-    : loop_(in), table_(table), chance_(seed) {}
+    : loop_(in), table_(table), random_(seed) {}
 
 relay::~relay() {
-    for (auto &[tag, each] : pairs_)
+    for (auto &[tag, each] : connections_)
         for (side *one : {&each->near, &each->far})
             if (one->watched)
                 loop_.forget(one->socket.get());
@@ -67,7 +68,7 @@
     return (static_cast<std::uint64_t>(which.kind) << 56) | (std::uint64_t{which.near} << 28) | which.far;
 }
 
-far_state relay::far_of(const link_id &which) const {
+far_state relay::far_state_of(const link_id &which) const {
     const auto found = far_.find({which.kind, which.far});
     return found == far_.end() ? far_state::up : found->second;
 }
@@ -82,11 +83,11 @@
     made.at = ipv4(relay_net + (static_cast<std::uint32_t>(::getpid() % 100) << 16) + place, 0);
     listen(made);
     made.at = local_address(made.listening);
-    follow(made);
+    update_listener(made);
     return made.at;
 }
 
-void relay::move(const link_id &which, const address &far) {
+void relay::set_far_address(const link_id &which, const address &far) {
     find(which).far = far;
 }
 
@@ -99,30 +100,30 @@
     loop_.watch(on.listening.get(), EPOLLIN, [this, which = on.id](std::uint32_t) { accept(which); });
 }
 
-void relay::shut(link &on) {
+void relay::close_listener(link &on) {
     loop_.forget(on.listening.get());
     on.listening.close();
 }
 
-void relay::follow(link &on) {
-    const far_state far = far_of(on.id);
+void relay::update_listener(link &on) {
+    const far_state far = far_state_of(on.id);
     if (far == far_state::refuses && on.listening)
-        return shut(on);
+        return close_listener(on);
     if (far == far_state::refuses)
         return;
     if (!on.listening)
         listen(on);
-    const bool drops = far == far_state::silent || !table_.now(on.id).comes_up();
+    const bool drops = far == far_state::silent || !table_.conditions(on.id).can_connect();
     if (drops != on.filtered)
-        filter(on.listening, drops);
+        set_drop_filter(on.listening, drops);
     on.filtered = drops;
 }
 
-void relay::far_end(link_kind kind, index far, far_state is) {
+void relay::set_far_state(link_kind kind, index far, far_state is) {
     far_[{kind, far}] = is;
     for (auto &[number, each] : links_)
         if (each.id.kind == kind && each.id.far == far)
-            follow(each);
+            update_listener(each);
 }
 
 void relay::accept(const link_id &which) {
@@ -132,44 +133,45 @@
         tcp_socket one = accept_on(on.listening, peer);
         if (!one)
             break;
-        if (table_.now(which).resets) {
-            reset_soon(one);
+        if (table_.conditions(which).resets) {
+            reset_on_close(one);
             continue;
         }
-        auto made = std::make_unique<pair>();
+        auto made = std::make_unique<proxied_connection>();
         made->tag = next_++;
         made->of = which;
         made->near.socket = std::move(one);
-        made->far.socket = dial_soon(on.far);
+        made->far.socket = start_connecting(on.far);
         made->far.connecting = true;
         if (!made->far.socket) {
-            reset_soon(made->near.socket);
+            reset_on_close(made->near.socket);
             continue;
         }
         auto &of = *made;
-        pairs_[made->tag] = std::move(made);
-        ask(of);
+        connections_[made->tag] = std::move(made);
+        update_interest(of);
     }
 }
 
 // Which events each side waits for, from the state of both directions.
-void relay::ask(pair &of) {
-    watch(of, true);
-    watch(of, false);
+void relay::update_interest(proxied_connection &of) {
+    update_interest_of(of, true);
+    update_interest_of(of, false);
 }
 
-void relay::watch(pair &of, bool near) {
+void relay::update_interest_of(proxied_connection &of, bool near) {
     side &here = near ? of.near : of.far;
-    const link_now &now = table_.now(of.of);
-    const direction out = near ? direction::there : direction::back;
-    const direction in = near ? direction::back : direction::there;
-    const flow &sends = of.flows[static_cast<int>(out)], &gets = of.flows[static_cast<int>(in)];
-    const bool writes = here.connecting || (!gets.waits.empty() && !now.at(in).dropped &&
-                                            gets.waits.front().due <= loop_.clock.now());
-    const bool reads = !here.connecting && !sends.ended && !now.at(out).dropped && sends.held < most_held;
+    const link_conditions &now = table_.conditions(of.of);
+    const direction out = near ? direction::forward : direction::backward;
+    const direction in = near ? direction::backward : direction::forward;
+    const byte_stream &sends = of.streams[static_cast<int>(out)], &gets = of.streams[static_cast<int>(in)];
+    const bool writes = here.connecting || (!gets.chunks.empty() && !now.at(in).dropped &&
+                                            gets.chunks.front().due <= loop_.clock.now());
+    const bool reads = !here.connecting && !sends.sender_ended && !now.at(out).dropped &&
+                       sends.queued_bytes < max_queued_bytes;
     const std::uint32_t events = (reads ? EPOLLIN : 0U) | (writes ? EPOLLOUT : 0U);
     // Nothing more can come from a side that has ended and been ended: its hang-up would be told for ever.
-    const bool done = here.gone || !here.socket || (sends.ended && gets.passed);
+    const bool done = here.gone || !here.socket || (sends.sender_ended && gets.end_forwarded);
     const int fd = here.socket.get();
     if (done && here.watched) {
         loop_.forget(fd);
@@ -178,18 +180,19 @@
         loop_.change(fd, events);
     } else if (!done) {
         here.watched = true;
-        loop_.watch(fd, events,
-                    [this, tag = of.tag, near](std::uint32_t came_events) { came(tag, near, came_events); });
+        loop_.watch(fd, events, [this, tag = of.tag, near](std::uint32_t came_events) {
+            on_events(tag, near, came_events);
+        });
     }
 }
 
-void relay::came(std::uint64_t tag, bool near, std::uint32_t events) {
-    const auto found = pairs_.find(tag);
-    if (found == pairs_.end())
+void relay::on_events(std::uint64_t tag, bool near, std::uint32_t events) {
+    const auto found = connections_.find(tag);
+    if (found == connections_.end())
         return;
-    pair &of = *found->second;
+    proxied_connection &of = *found->second;
     side &here = near ? of.near : of.far;
-    const direction out = near ? direction::there : direction::back;
+    const direction out = near ? direction::forward : direction::backward;
     const bool broke = (events & (EPOLLERR | EPOLLHUP)) != 0;
     if (here.connecting) {
         int failed = 0;
@@ -198,154 +201,160 @@
         if (failed != 0)
             return finish(tag, true, false);
         here.connecting = false;
-        push(tag, direction::there);
-        if (pairs_.contains(tag))
-            ask(of);
+        write_to_receiver(tag, direction::forward);
+        if (connections_.contains(tag))
+            update_interest(of);
         return;
     }
-    if (broke && table_.now(of.of).at(out).dropped) { // nobody can be told now
+    if (broke && table_.conditions(of.of).at(out).dropped) { // nobody can be told now
         here.gone = true;
-        return ask(of);
+        return update_interest(of);
     }
     // Guards against a reset that a full direction would never read, and be told of for ever.
     if ((events & EPOLLERR) != 0)
         return finish(tag, !near, near);
     if ((events & EPOLLIN) != 0 || broke)
-        take(of, out);
-    if (pairs_.contains(tag) && (events & EPOLLOUT) != 0)
-        push(tag, near ? direction::back : direction::there);
+        read_from_sender(of, out);
+    if (connections_.contains(tag) && (events & EPOLLOUT) != 0)
+        write_to_receiver(tag, near ? direction::backward : direction::forward);
 }
 
-void relay::take(pair &of, direction to) {
+void relay::read_from_sender(proxied_connection &of, direction to) {
     const auto tag = of.tag;
-    side &from = to == direction::there ? of.near : of.far;
-    flow &into = of.flows[static_cast<int>(to)];
-    std::array<char, piece_size> part;
-    while (!into.ended && into.held < most_held) {
+    side &from = to == direction::forward ? of.near : of.far;
+    byte_stream &into = of.streams[static_cast<int>(to)];
+    std::array<char, read_size> part;
+    while (!into.sender_ended && into.queued_bytes < max_queued_bytes) {
         const long got = read_some(from.socket, part.data(), part.size());
         if (got == -2)
             break;
         if (got < 0)
-            return finish(tag, to == direction::back, to == direction::there);
-        const way_now &way = table_.now(of.of).at(to);
+            return finish(tag, to == direction::backward, to == direction::forward);
+        const direction_conditions &conditions = table_.conditions(of.of).at(to);
         const double now = loop_.clock.now();
-        const double wire = way.pace > 0 ? static_cast<double>(got) / way.pace : 0;
-        double due = now + way.delay + (way.jitter > 0 ? way.jitter * chance_.part() : 0);
+        const double wire =
+            conditions.bytes_per_second > 0 ? static_cast<double>(got) / conditions.bytes_per_second : 0;
+        double due =
+            now + conditions.delay + (conditions.jitter > 0 ? conditions.jitter * random_.part() : 0);
         due = std::max({due, into.last_due + wire, now + wire}); // in its order, at its pace
         into.last_due = due;
         if (got == 0)
-            into.ended = true;
-        else if (!of.cut || to != direction::there) { // what goes to the dead is gone
-            into.waits.push_back({due, std::string(part.data(), static_cast<std::size_t>(got))});
-            into.held += static_cast<std::size_t>(got);
+            into.sender_ended = true;
+        else if (!of.far_end_dead || to != direction::forward) { // what goes to the dead is gone
+            into.chunks.push_back({due, std::string(part.data(), static_cast<std::size_t>(got))});
+            into.queued_bytes += static_cast<std::size_t>(got);
         }
         if (due > now)
-            loop_.clock.at(due, [this, here = std::weak_ptr(here_), tag, to] {
+            loop_.clock.at(due, [this, here = std::weak_ptr(lifetime_), tag, to] {
                 if (!here.expired())
-                    push(tag, to);
+                    write_to_receiver(tag, to);
             });
     }
-    push(tag, to);
+    write_to_receiver(tag, to);
 }
 
-void relay::push(std::uint64_t tag, direction to) {
-    const auto found = pairs_.find(tag);
-    if (found == pairs_.end())
+void relay::write_to_receiver(std::uint64_t tag, direction to) {
+    const auto found = connections_.find(tag);
+    if (found == connections_.end())
         return;
-    pair &of = *found->second;
-    side &into = to == direction::there ? of.far : of.near;
-    flow &from = of.flows[static_cast<int>(to)];
+    proxied_connection &of = *found->second;
+    side &into = to == direction::forward ? of.far : of.near;
+    byte_stream &from = of.streams[static_cast<int>(to)];
     const double now = loop_.clock.now();
-    while (!from.waits.empty() && from.waits.front().due <= now && !into.connecting && !into.gone &&
-           !table_.now(of.of).at(to).dropped) {
-        auto &next = from.waits.front();
+    while (!from.chunks.empty() && from.chunks.front().due <= now && !into.connecting && !into.gone &&
+           !table_.conditions(of.of).at(to).dropped) {
+        auto &next = from.chunks.front();
         const auto wrote =
             ::send(into.socket.get(), next.bytes.data(), next.bytes.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
         if (wrote < 0 && (errno == EAGAIN || errno == EWOULDBLOCK))
             break;
         if (wrote <= 0)
-            return finish(tag, to == direction::there, to == direction::back);
-        carried_ += static_cast<std::uint64_t>(wrote);
-        from.held -= static_cast<std::size_t>(wrote);
+            return finish(tag, to == direction::forward, to == direction::backward);
+        forwarded_bytes_ += static_cast<std::uint64_t>(wrote);
+        from.queued_bytes -= static_cast<std::size_t>(wrote);
         next.bytes.erase(0, static_cast<std::size_t>(wrote));
         if (next.bytes.empty())
-            from.waits.pop_front();
+            from.chunks.pop_front();
     }
-    const bool may_end = from.ended && !from.passed && from.waits.empty() && from.last_due <= now &&
-                         !into.connecting && !table_.now(of.of).at(to).dropped && !of.cut;
+    const bool may_end = from.sender_ended && !from.end_forwarded && from.chunks.empty() &&
+                         from.last_due <= now && !into.connecting &&
+                         !table_.conditions(of.of).at(to).dropped && !of.far_end_dead;
     if (may_end) {
-        from.passed = true;
+        from.end_forwarded = true;
         ::shutdown(into.socket.get(), SHUT_WR);
     }
-    if (of.flows[0].passed && of.flows[1].passed)
+    if (of.streams[0].end_forwarded && of.streams[1].end_forwarded)
         return finish(tag, false, false);
-    ask(of);
+    update_interest(of);
 }
 
 void relay::finish(std::uint64_t tag, bool reset_near, bool reset_far) {
-    const auto found = pairs_.find(tag);
-    if (found == pairs_.end())
+    const auto found = connections_.find(tag);
+    if (found == connections_.end())
         return;
     const auto of = std::move(found->second);
-    pairs_.erase(found);
+    connections_.erase(found);
     for (side *one : {&of->near, &of->far})
         if (one->watched)
             loop_.forget(one->socket.get());
     if (reset_near)
-        reset_soon(of->near.socket);
+        reset_on_close(of->near.socket);
     if (reset_far && of->far.socket)
-        reset_soon(of->far.socket);
+        reset_on_close(of->far.socket);
 }
 
-void relay::changed(const link_id &which, const link_now &before, const link_now &now) {
+void relay::on_conditions_changed(const link_id &which, const link_conditions &before,
+                                  const link_conditions &now) {
     const auto known = links_.find(key(which));
     if (known == links_.end())
         return;
-    follow(known->second);
+    update_listener(known->second);
     std::vector<std::uint64_t> tags;
-    for (const auto &[tag, each] : pairs_)
+    for (const auto &[tag, each] : connections_)
         if (each->of == which)
             tags.push_back(tag);
     for (const auto tag : tags) {
-        pair &of = *pairs_.at(tag);
+        proxied_connection &of = *connections_.at(tag);
         if (now.resets) {
             finish(tag, true, true);
             continue;
         }
         if (now.half_open && !before.half_open) {
-            of.cut = true;
+            of.far_end_dead = true;
             if (of.far.watched)
                 loop_.forget(of.far.socket.get());
             of.far.watched = false;
             of.far.gone = true;
-            reset_soon(of.far.socket);
+            reset_on_close(of.far.socket);
             of.far.socket.close();
-            of.flows[0].waits.clear();
-            of.flows[1].waits.clear();
-            of.flows[0].held = of.flows[1].held = 0;
-            of.flows[1].ended = true; // nothing comes from it any more, nor its end
+            of.streams[0].chunks.clear();
+            of.streams[1].chunks.clear();
+            of.streams[0].queued_bytes = of.streams[1].queued_bytes = 0;
+            of.streams[1].sender_ended = true; // nothing comes from it any more, nor its end
         }
-        if (before.half_open && !now.half_open && of.cut) {
+        if (before.half_open && !now.half_open && of.far_end_dead) {
             finish(tag, true, false);
             continue;
         }
-        if (of.cut) {
-            ask(of);
+        if (of.far_end_dead) {
+            update_interest(of);
             continue;
         }
         // A sender that has ended meanwhile takes what was held with it.
-        const auto lost = [&](direction way, const side &from) {
-            return before.at(way).dropped && !now.at(way).dropped && (from.gone || has_ended(from.socket));
+        const auto lost = [&](direction conditions, const side &from) {
+            return before.at(conditions).dropped && !now.at(conditions).dropped &&
+                   (from.gone || peer_has_ended(from.socket));
         };
-        const bool near_lost = lost(direction::there, of.near), far_lost = lost(direction::back, of.far);
+        const bool near_lost = lost(direction::forward, of.near),
+                   far_lost = lost(direction::backward, of.far);
         if (near_lost || far_lost) {
             finish(tag, far_lost, near_lost);
             continue;
         }
-        push(tag, direction::there);
-        push(tag, direction::back);
-        if (pairs_.contains(tag))
-            ask(of);
+        write_to_receiver(tag, direction::forward);
+        write_to_receiver(tag, direction::backward);
+        if (connections_.contains(tag))
+            update_interest(of);
     }
 }
 
@@ -353,7 +362,7 @@
 
 datagram_relay::datagram_relay(loop &in, const link_table &table, std::vector<address> proxies,
                                std::uint32_t seed)
-    : loop_(in), table_(table), proxies_(std::move(proxies)), chance_(seed) {
+    : loop_(in), table_(table), proxies_(std::move(proxies)), random_(seed) {
     socket_ = tcp_socket(::socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
     const address any = ipv4(INADDR_ANY, 0);
     const int on = 1;
@@ -368,17 +377,17 @@
     loop_.forget(socket_.get());
 }
 
-address datagram_relay::seen_at(std::uint32_t number) const {
+address datagram_relay::numbered_address(std::uint32_t number) const {
     return ipv4(datagram_net + number, port_);
 }
 
-address datagram_relay::as_seen(index by, index other) const {
-    return seen_at(by * static_cast<std::uint32_t>(proxies_.size()) + other + 1);
+address datagram_relay::address_of(index by, index other) const {
+    return numbered_address(by * static_cast<std::uint32_t>(proxies_.size()) + other + 1);
 }
 
-address datagram_relay::all_as_seen(index by) const {
+address datagram_relay::broadcast_address(index by) const {
     const auto count = static_cast<std::uint32_t>(proxies_.size());
-    return seen_at(count * count + by + 1);
+    return numbered_address(count * count + by + 1);
 }
 
 void datagram_relay::read() {
@@ -412,13 +421,13 @@
         std::memcpy(&sender.where, &from, sizeof from);
         sender.size = sizeof from;
         if (to <= datagram_net || by >= count || to_text(sender) != to_text(proxies_[by])) {
-            ++counts_.foreign;
+            ++counters_.foreign;
             continue;
         }
-        ++counts_.sent;
-        counts_.bytes += static_cast<std::uint64_t>(got);
-        if (static_cast<std::size_t>(got) > most_datagram) {
-            ++counts_.too_long;
+        ++counters_.sent;
+        counters_.bytes += static_cast<std::uint64_t>(got);
+        if (static_cast<std::size_t>(got) > max_datagram_bytes) {
+            ++counters_.too_long;
             continue;
         }
         const std::string what(bytes.data(), static_cast<std::size_t>(got));
@@ -431,21 +440,23 @@
 }
 
 void datagram_relay::carry(index from, index to, const std::string &what) {
-    const way_now way = table_.datagrams(from, to);
-    if (way.dropped || chance_.happens(way.lost)) {
-        ++counts_.lost;
+    const direction_conditions conditions = table_.datagram_conditions(from, to);
+    if (conditions.dropped || random_.happens(conditions.loss_share)) {
+        ++counters_.dropped;
         return;
     }
-    const bool twice = chance_.happens(way.doubled), behind = chance_.happens(way.reordered);
-    counts_.doubled += twice;
-    counts_.reordered += behind;
+    const bool twice = random_.happens(conditions.duplicate_share),
+               behind = random_.happens(conditions.reorder_share);
+    counters_.duplicated += twice;
+    counters_.reordered += behind;
     for (int i = 0; i < (twice ? 2 : 1); ++i) {
-        const double wait =
-            way.delay + (way.jitter > 0 ? way.jitter * chance_.part() : 0) + (behind ? reorder_by : 0);
+        const double wait = conditions.delay +
+                            (conditions.jitter > 0 ? conditions.jitter * random_.part() : 0) +
+                            (behind ? reorder_delay : 0);
         if (wait <= 0)
             deliver(from, to, what);
         else
-            loop_.clock.after(wait, [this, here = std::weak_ptr(here_), from, to, what] {
+            loop_.clock.after(wait, [this, here = std::weak_ptr(lifetime_), from, to, what] {
                 if (!here.expired())
                     deliver(from, to, what);
             });
@@ -454,7 +465,7 @@
 
 void datagram_relay::deliver(index from, index to, const std::string &what) {
     address target = proxies_[to];
-    const address source = as_seen(to, from);
+    const address source = address_of(to, from);
     iovec part{const_cast<char *>(what.data()), what.size()};
     alignas(cmsghdr) std::array<char, CMSG_SPACE(sizeof(in_pktinfo))> extra{};
     msghdr message{};
@@ -472,7 +483,7 @@
     info.ipi_spec_dst = reinterpret_cast<const sockaddr_in *>(&source.where)->sin_addr;
     std::memcpy(CMSG_DATA(head), &info, sizeof info);
     if (::sendmsg(socket_.get(), &message, MSG_DONTWAIT | MSG_NOSIGNAL) >= 0)
-        ++counts_.delivered;
+        ++counters_.delivered;
 }
 
 } // namespace harrierpass::testbed
--- a/src/testbed/links/relay.hpp
+++ b/src/testbed/links/relay.hpp
@@ -37,33 +37,34 @@
 
     // Opens the link before a far end and tells the address where the near end finds it.
     address open(const link_id &which, const address &far);
-    void move(const link_id &which, const address &far); // it is elsewhere now, as after a restart
-    void far_end(link_kind kind, index far, far_state is);
-    void changed(const link_id &which, const link_now &before, const link_now &now); // for the table
-    std::size_t connections() const { return pairs_.size(); }
-    std::uint64_t carried() const { return carried_; } // bytes
+    void set_far_address(const link_id &which, const address &far); // it is elsewhere now, as after a restart
+    void set_far_state(link_kind kind, index far, far_state is);
+    void on_conditions_changed(const link_id &which, const link_conditions &before,
+                               const link_conditions &now); // for the table
+    std::size_t connections() const { return connections_.size(); }
+    std::uint64_t forwarded_bytes() const { return forwarded_bytes_; } // bytes
 
 private:
-    struct piece {
+    struct chunk {
         double due;
         std::string bytes;
     };
-    struct flow { // one direction of a connection
-        std::deque<piece> waits;
-        std::size_t held = 0; // bytes
+    struct byte_stream { // one direction of a connection
+        std::deque<chunk> chunks;
+        std::size_t queued_bytes = 0; // bytes
         double last_due = 0;
-        bool ended = false, passed = false; // its sender's half is over; that was passed on
+        bool sender_ended = false, end_forwarded = false; // its sender's half is over; that was passed on
     };
     struct side {
         tcp_socket socket;
         bool connecting = false, watched = false, gone = false; // gone: broke while nobody could be told
     };
-    struct pair {
+    struct proxied_connection {
         std::uint64_t tag;
         link_id of;
         side near, far;
-        flow flows[2];    // by direction
-        bool cut = false; // half open: the far end is dead
+        byte_stream streams[2];    // by direction
+        bool far_end_dead = false; // half open: the far end is dead
     };
     struct link {
         link_id id;
@@ -75,25 +76,25 @@
     link &find(const link_id &which) { return links_.at(key(which)); }
     static std::uint64_t key(const link_id &which);
     void listen(link &on);
-    void shut(link &on);
-    void follow(link &on);
+    void close_listener(link &on);
+    void update_listener(link &on);
     void accept(const link_id &which);
-    void came(std::uint64_t tag, bool near, std::uint32_t events);
-    void take(pair &of, direction to);
-    void push(std::uint64_t tag, direction to);
-    void ask(pair &of);
-    void watch(pair &of, bool near);
+    void on_events(std::uint64_t tag, bool near, std::uint32_t events);
+    void read_from_sender(proxied_connection &of, direction to);
+    void write_to_receiver(std::uint64_t tag, direction to);
+    void update_interest(proxied_connection &of);
+    void update_interest_of(proxied_connection &of, bool near);
     void finish(std::uint64_t tag, bool reset_near, bool reset_far);
-    far_state far_of(const link_id &which) const;
+    far_state far_state_of(const link_id &which) const;
 
     loop &loop_;
     const link_table &table_;
-    chance chance_;
+    chance random_;
     std::map<std::uint64_t, link> links_;
-    std::map<std::uint64_t, std::unique_ptr<pair>> pairs_; // by tag
+    std::map<std::uint64_t, std::unique_ptr<proxied_connection>> connections_; // by tag
     std::map<std::pair<link_kind, index>, far_state> far_;
-    std::uint64_t next_ = 1, carried_ = 0;
-    std::shared_ptr<bool> here_ = std::make_shared<bool>(true);
+    std::uint64_t next_ = 1, forwarded_bytes_ = 0;
+    std::shared_ptr<bool> lifetime_ = std::make_shared<bool>(true);
 };
 
 // Datagrams between proxies. What is sent to `as_seen(p, q)` from p's own address reaches q from
@@ -104,29 +105,29 @@
     ~datagram_relay();
     datagram_relay(const datagram_relay &) = delete;
     datagram_relay &operator=(const datagram_relay &) = delete;
-    address as_seen(index by, index other) const;
-    address all_as_seen(index by) const; // what goes there goes to every other proxy
+    address address_of(index by, index other) const;
+    address broadcast_address(index by) const; // what goes there goes to every other proxy
 
-    struct counts {
-        std::uint64_t sent = 0, bytes = 0, delivered = 0, lost = 0, doubled = 0, reordered = 0, foreign = 0,
-                      too_long = 0;
+    struct datagram_counters {
+        std::uint64_t sent = 0, bytes = 0, delivered = 0, dropped = 0, duplicated = 0, reordered = 0,
+                      foreign = 0, too_long = 0;
     };
-    const counts &seen() const { return counts_; }
+    const datagram_counters &counters() const { return counters_; }
 
 private:
     void read();
     void carry(index from, index to, const std::string &what);
     void deliver(index from, index to, const std::string &what);
-    address seen_at(std::uint32_t number) const;
+    address numbered_address(std::uint32_t number) const;
 
     loop &loop_;
     const link_table &table_;
     const std::vector<address> proxies_;
-    chance chance_;
+    chance random_;
     tcp_socket socket_;
     int port_ = 0;
-    counts counts_;
-    std::shared_ptr<bool> here_ = std::make_shared<bool>(true);
+    datagram_counters counters_;
+    std::shared_ptr<bool> lifetime_ = std::make_shared<bool>(true);
 };
 
 } // namespace harrierpass::testbed
--- a/src/testbed/links/virtual_links.hpp
+++ b/src/testbed/links/virtual_links.hpp
@@ -13,52 +13,54 @@
 class virtual_links {
 public:
     virtual_links(timeline &clock, const link_table &table, std::uint32_t seed)
-        : clock_(clock), table_(table), chance_(seed) {}
+        : clock_(clock), table_(table), random_(seed) {}
 
     // Brings a message over: after `way` s and what the link adds. While its direction is dropped it is held;
     // when that is over, `lives` tells whether its sender's connection still stands (none: it does).
-    void carry(const link_id &on, direction to, double way, std::size_t bytes, std::function<void()> then,
-               std::function<bool()> lives = {}) {
-        if (!table_.names(on))
-            return clock_.after(way, std::move(then));
-        const way_now &now = table_.now(on).at(to);
+    void carry(const link_id &on, direction to, double latency, std::size_t bytes,
+               std::function<void()> on_arrival, std::function<bool()> sender_connected = {}) {
+        if (!table_.contains(on))
+            return clock_.after(latency, std::move(on_arrival));
+        const direction_conditions &now = table_.conditions(on).at(to);
         if (now.dropped) {
-            held_[key(on, to)].push_back({way, bytes, std::move(then), std::move(lives)});
+            queued_[key(on, to)].push_back(
+                {latency, bytes, std::move(on_arrival), std::move(sender_connected)});
             return;
         }
-        const double jitter = now.jitter > 0 ? now.jitter * chance_.part() : 0;
-        const double wire = now.pace > 0 ? static_cast<double>(bytes) / now.pace : 0;
-        clock_.after(way + now.delay + jitter + wire, std::move(then));
+        const double jitter = now.jitter > 0 ? now.jitter * random_.part() : 0;
+        const double wire = now.bytes_per_second > 0 ? static_cast<double>(bytes) / now.bytes_per_second : 0;
+        clock_.after(latency + now.delay + jitter + wire, std::move(on_arrival));
     }
-    bool comes_up(const link_id &which) const { return table_.now(which).comes_up(); }
-    const link_now &now(const link_id &which) const { return table_.now(which); }
+    bool can_connect(const link_id &which) const { return table_.conditions(which).can_connect(); }
+    const link_conditions &conditions(const link_id &which) const { return table_.conditions(which); }
     // For the table: what was held goes on.
-    void changed(const link_id &which, const link_now &before, const link_now &now) {
-        for (const direction to : {direction::there, direction::back}) {
+    void on_conditions_changed(const link_id &which, const link_conditions &before,
+                               const link_conditions &now) {
+        for (const direction to : {direction::forward, direction::backward}) {
             if (!before.at(to).dropped || now.at(to).dropped)
                 continue;
-            const auto all = std::move(held_[key(which, to)]);
-            held_.erase(key(which, to));
+            const auto all = std::move(queued_[key(which, to)]);
+            queued_.erase(key(which, to));
             for (const auto &each : all)
-                if (!each.lives || each.lives())
-                    carry(which, to, each.way, each.bytes, each.then, each.lives);
+                if (!each.sender_connected || each.sender_connected())
+                    carry(which, to, each.latency, each.bytes, each.on_arrival, each.sender_connected);
         }
     }
 
 private:
-    struct held {
-        double way;
+    struct queued_message {
+        double latency;
         std::size_t bytes;
-        std::function<void()> then;
-        std::function<bool()> lives;
+        std::function<void()> on_arrival;
+        std::function<bool()> sender_connected;
     };
     using place = std::tuple<link_kind, index, index, direction>;
     static place key(const link_id &of, direction to) { return {of.kind, of.near, of.far, to}; }
 
     timeline &clock_;
     const link_table &table_;
-    chance chance_;
-    std::map<place, std::vector<held>> held_;
+    chance random_;
+    std::map<place, std::vector<queued_message>> queued_;
 };
 
 } // namespace harrierpass::testbed
--- a/src/testbed/load/clients.cpp
+++ b/src/testbed/load/load_generator.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "testbed/load/clients.hpp"
+#include "testbed/load/load_generator.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -8,9 +8,9 @@
 namespace harrierpass::testbed {
 namespace {
 
-constexpr double parts = 120;        // parts of a run that are told apart in plots
-constexpr double window_share = 0.5; // of the window, after which no client repeats what may have run
-constexpr double drift_share = 0.1;  // of the ranks that change hands at a time
+constexpr double interval_count = 120; // parts of a run that are told apart in plots
+constexpr double window_share = 0.5;   // of the window, after which no client repeats what may have run
+constexpr double drift_share = 0.1;    // of the ranks that change hands at a time
 
 index pick(const std::vector<double> &sums, double part) {
     const auto at = std::upper_bound(sums.begin(), sums.end(), part * sums.back()) - sums.begin();
@@ -19,7 +19,7 @@
 
 } // namespace
 
-std::vector<double> parts_of_load(const experiment &given) {
+std::vector<double> proxy_load_shares(const experiment &given) {
     // By a seed of their own: the parts are the deployment's, and the same on every day of it.
     chance drawn(given.proxies.count + 1000);
     std::vector<double> made;
@@ -31,56 +31,56 @@
     return made;
 }
 
-clients::clients(timeline &clock, const experiment &given, witness &judge, std::uint32_t seed)
-    : clock_(clock), given_(given), judge_(judge), chance_(seed), retries_(chance_.seed()),
+load_generator::load_generator(timeline &clock, const experiment &given, witness &checker, std::uint32_t seed)
+    : clock_(clock), experiment_(given), checker_(checker), random_(seed), retries_(random_.seed()),
       floods_(std::max<std::size_t>(1, given.tenants.size()), 1.0), by_tenant_(given.tenants.size()),
       by_use_(given.use_cases.size()) {
     double sum = 0;
     for (index rank = 0; rank < given.load.keys; ++rank)
-        sums_.push_back(sum += std::pow(rank + 1.0, -given.load.zipf));
+        popularity_.push_back(sum += std::pow(rank + 1.0, -given.load.zipf));
     sum = 0;
     for (const auto &each : given.use_cases)
-        uses_.push_back(sum += each.share);
+        class_shares_.push_back(sum += each.share);
     sum = 0;
-    for (const double each : parts_of_load(given))
-        parts_.push_back(sum += each);
-    slot_length_ = given.length / parts;
-    slots_.resize(static_cast<std::size_t>(parts));
+    for (const double each : proxy_load_shares(given))
+        proxy_shares_.push_back(sum += each);
+    slot_length_ = given.length / interval_count;
+    slots_.resize(static_cast<std::size_t>(interval_count));
 }
 
-void clients::start() {
+void load_generator::start() {
     began_ = next_due_ = clock_.now();
-    clock_.at(began_ + given_.length, [this] { over_ = true; });
-    for (index i = 0; i < given_.load.closed; ++i)
-        clock_.after(chance_.part() * std::max(0.01, given_.load.think),
+    clock_.at(began_ + experiment_.length, [this] { over_ = true; });
+    for (index i = 0; i < experiment_.load.closed; ++i)
+        clock_.after(random_.part() * std::max(0.01, experiment_.load.think),
                      [this, i] { begin(clock_.now(), i); });
-    if (given_.load.rate > 0)
+    if (experiment_.load.rate > 0)
         next_arrival();
 }
 
-double clients::rate() const {
-    const double part = (clock_.now() - began_) / given_.length;
-    const double ramp = 1 + (given_.load.ramp_to - 1) * (1 - std::cos(6.283185307179586 * part)) / 2;
+double load_generator::rate() const {
+    const double part = (clock_.now() - began_) / experiment_.length;
+    const double ramp = 1 + (experiment_.load.ramp_to - 1) * (1 - std::cos(6.283185307179586 * part)) / 2;
     double tenants = 1;
-    if (!given_.tenants.empty()) {
+    if (!experiment_.tenants.empty()) {
         double plain = 0, flooded = 0;
-        for (std::size_t i = 0; i < given_.tenants.size(); ++i) {
-            plain += given_.tenants[i].share;
-            flooded += given_.tenants[i].share * floods_[i];
+        for (std::size_t i = 0; i < experiment_.tenants.size(); ++i) {
+            plain += experiment_.tenants[i].share;
+            flooded += experiment_.tenants[i].share * floods_[i];
         }
         tenants = plain > 0 ? flooded / plain : 1;
     }
-    return given_.load.rate * ramp * burst_ * tenants;
+    return experiment_.load.rate * ramp * burst_ * tenants;
 }
 
 // The rate changes little between two arrivals, so that of the present is taken.
-void clients::next_arrival() {
+void load_generator::next_arrival() {
     // From when the last one was due, not from when this thread got round to it.
-    next_due_ += chance_.exponential(1 / std::max(1e-6, rate()));
+    next_due_ += random_.exponential(1 / std::max(1e-6, rate()));
     clock_.at(next_due_, [this] { arrive(); });
 }
 
-void clients::arrive() {
+void load_generator::arrive() {
     if (over_)
         return;
     begin(next_due_, none);
@@ -88,140 +88,140 @@
 }
 
 // Ranks change hands: after each drift a tenth of them belongs to keys that nobody asked for before.
-std::uint64_t clients::key_of_rank(index rank) const {
+std::uint64_t load_generator::key_of_rank(index rank) const {
     std::uint64_t turn = 0;
-    if (given_.load.drift > 0) {
-        const auto drifts = static_cast<std::uint64_t>((clock_.now() - began_) / given_.load.drift);
+    if (experiment_.load.drift > 0) {
+        const auto drifts = static_cast<std::uint64_t>((clock_.now() - began_) / experiment_.load.drift);
         const auto every = static_cast<std::uint64_t>(std::round(1 / drift_share));
         turn = (drifts + every - 1 - rank % every) / every;
     }
-    return rank + turn * given_.load.keys;
+    return rank + turn * experiment_.load.keys;
 }
 
-void clients::begin(double intended, index closed) {
+void load_generator::begin(double intended, index closed_client) {
     if (over_)
         return;
     const operation op = next_++;
     auto &of = open_[op];
     of.intended = intended;
-    of.closed = closed;
-    auto &ask_it = of.now;
-    ask_it.op = op;
-    ask_it.use_case = pick(uses_, chance_.part());
-    const auto &use = given_.use_cases[ask_it.use_case];
-    ask_it.write = use.write;
-    ask_it.keyed = use.keyed;
-    const bool hottest = given_.load.hottest > 0 && chance_.happens(given_.load.hottest);
-    ask_it.key = key_of_rank(hottest ? 0 : pick(sums_, chance_.part()));
-    if (!given_.tenants.empty()) {
+    of.closed_client = closed_client;
+    auto &request = of.now;
+    request.op = op;
+    request.use_case = pick(class_shares_, random_.part());
+    const auto &use = experiment_.use_cases[request.use_case];
+    request.write = use.write;
+    request.keyed = use.keyed;
+    const bool hottest = experiment_.load.hottest > 0 && random_.happens(experiment_.load.hottest);
+    request.key = key_of_rank(hottest ? 0 : pick(popularity_, random_.part()));
+    if (!experiment_.tenants.empty()) {
         double sum = 0;
-        for (std::size_t i = 0; i < given_.tenants.size(); ++i)
-            sum += given_.tenants[i].share * floods_[i];
-        double part = chance_.part() * sum;
-        ask_it.tenant = 0;
-        while (ask_it.tenant + 1 < given_.tenants.size() &&
-               (part -= given_.tenants[ask_it.tenant].share * floods_[ask_it.tenant]) >= 0)
-            ++ask_it.tenant;
+        for (std::size_t i = 0; i < experiment_.tenants.size(); ++i)
+            sum += experiment_.tenants[i].share * floods_[i];
+        double part = random_.part() * sum;
+        request.tenant = 0;
+        while (request.tenant + 1 < experiment_.tenants.size() &&
+               (part -= experiment_.tenants[request.tenant].share * floods_[request.tenant]) >= 0)
+            ++request.tenant;
     }
-    ask(op, intended);
+    send_attempt(op, intended);
 }
 
-void clients::ask(operation op, double due) {
+void load_generator::send_attempt(operation op, double due) {
     if (pauses_ > 0) {
-        held_.emplace_back(op, due);
+        delayed_attempts_.emplace_back(op, due);
         return;
     }
     auto &of = open_.at(op);
-    of.waits = false;
+    of.awaits_retry = false;
     const double now = clock_.now();
     lateness_.add(std::max(0.0, now - due));
-    const auto &use = given_.use_cases[of.now.use_case];
+    const auto &use = experiment_.use_cases[of.now.use_case];
     if (of.now.attempt == 0)
-        of.first_asked = now;
+        of.first_sent = now;
     of.now.end = now + use.statement_timeout;
-    const index count = given_.proxies.count;
-    const index first = parts_.empty() ? chance_.below(count) : pick(parts_, chance_.part());
+    const index count = experiment_.proxies.count;
+    const index first = proxy_shares_.empty() ? random_.below(count) : pick(proxy_shares_, random_.part());
     bool sent = false;
     for (index i = 0; i < count && !sent; ++i) {
         of.now.proxy = (first + i) % count;
-        sent = there(of.now.proxy);
+        sent = is_reachable(of.now.proxy);
     }
     if (!sent) // nobody is there: the client comes back like one that was cut off
-        return again(op, given_.load.impatient);
+        return schedule_retry(op, experiment_.load.impatient);
     // Told first: what comes of it may be seen elsewhere before this thread goes on.
-    judge_.asked(op, of.now.attempt, of.now.proxy, of.now.use_case, of.now.end);
+    checker_.asked(op, of.now.attempt, of.now.proxy, of.now.use_case, of.now.end);
     send(of.now);
-    clock_.at(of.now.end + given_.load.wait_beyond, [this, op, attempt = of.now.attempt] {
+    clock_.at(of.now.end + experiment_.load.wait_beyond, [this, op, attempt = of.now.attempt] {
         const auto late = open_.find(op);
-        if (late == open_.end() || late->second.now.attempt != attempt || late->second.waits)
+        if (late == open_.end() || late->second.now.attempt != attempt || late->second.awaits_retry)
             return;
-        judge_.unanswered(op, attempt);
-        leave(late->second.now);
+        checker_.unanswered(op, attempt);
+        abandon(late->second.now);
         finish(op, reply::none);
     });
 }
 
-void clients::answered(operation op, index attempt, reply how, double come_back, bool body_fits) {
+void load_generator::answered(operation op, index attempt, reply how, double retry_after, bool body_fits) {
     if (how == reply::cut)
-        judge_.unanswered(op, attempt);
+        checker_.unanswered(op, attempt);
     else
-        judge_.answered(op, attempt, how, body_fits);
+        checker_.answered(op, attempt, how, body_fits);
     const auto found = open_.find(op);
-    if (found == open_.end() || found->second.now.attempt != attempt || found->second.waits)
+    if (found == open_.end() || found->second.now.attempt != attempt || found->second.awaits_retry)
         return;
     // What was cut off may have run, or may yet: who asks again then must know that a repeat is dropped
     // wherever it comes.
-    const auto &use = given_.use_cases[found->second.now.use_case].decides;
+    const auto &use = experiment_.use_cases[found->second.now.use_case].decides;
     const bool repeatable =
         use.effect == effect_kind::idempotent ||
         (use.effect == effect_kind::deduplicated && use.scope == deduplication_scope::all);
     const bool may = how == reply::rejected || (how == reply::cut && repeatable);
-    if (!may || found->second.now.attempt >= given_.load.retries)
+    if (!may || found->second.now.attempt >= experiment_.load.retries)
         return finish(op, how);
-    const bool heeds = come_back > 0 && retries_.happens(given_.load.heed);
-    const double wait = heeds ? come_back : given_.load.impatient * (0.5 + retries_.part());
+    const bool heeds = retry_after > 0 && retries_.happens(experiment_.load.heed);
+    const double wait = heeds ? retry_after : experiment_.load.impatient * (0.5 + retries_.part());
     // A deduplicated request may be refused although it may have run: its client comes back while servers
     // know it.
-    const double known_until = found->second.first_asked + use.deduplication_window * window_share;
+    const double known_until = found->second.first_sent + use.deduplication_window * window_share;
     if (use.effect == effect_kind::deduplicated && clock_.now() + wait >= known_until)
         return finish(op, how);
-    again(op, wait);
+    schedule_retry(op, wait);
 }
 
-void clients::again(operation op, double wait) {
+void load_generator::schedule_retry(operation op, double wait) {
     auto &of = open_.at(op);
     // Nobody asks for what is worth nothing any more: a client's patience is twice its statement timeout.
-    const double give_up = of.intended + 2 * given_.use_cases[of.now.use_case].statement_timeout;
-    if (clock_.now() + wait > give_up || of.now.attempt >= given_.load.retries)
+    const double give_up = of.intended + 2 * experiment_.use_cases[of.now.use_case].statement_timeout;
+    if (clock_.now() + wait > give_up || of.now.attempt >= experiment_.load.retries)
         return finish(op, reply::rejected);
-    of.waits = true;
+    of.awaits_retry = true;
     ++of.now.attempt;
     const double due = clock_.now() + wait;
     clock_.at(due, [this, op, due] {
         if (open_.contains(op))
-            ask(op, due);
+            send_attempt(op, due);
     });
 }
 
-void clients::finish(operation op, reply how) {
-    const open_op of = open_.at(op);
+void load_generator::finish(operation op, reply how) {
+    const open_operation of = open_.at(op);
     count(of, how);
     open_.erase(op);
-    judge_.settled(op);
-    if (of.closed != none && !over_)
-        clock_.after(given_.load.think > 0 ? chance_.exponential(given_.load.think) : 0,
-                     [this, closed = of.closed] { begin(clock_.now(), closed); });
+    checker_.settled(op);
+    if (of.closed_client != none && !over_)
+        clock_.after(experiment_.load.think > 0 ? random_.exponential(experiment_.load.think) : 0,
+                     [this, closed_client = of.closed_client] { begin(clock_.now(), closed_client); });
 }
 
-void clients::count(const open_op &of, reply how) {
-    const auto &use = given_.use_cases[of.now.use_case];
+void load_generator::count(const open_operation &of, reply how) {
+    const auto &use = experiment_.use_cases[of.now.use_case];
     const double took = clock_.now() - of.intended;
     const bool served = how == reply::completed;
     const double worth = !served ? 0
                          : took <= use.decides.latency_objective
                              ? use.decides.priority_weight
                              : use.decides.priority_weight * use.decides.late_value_share;
-    const auto add = [&](slot &to) {
+    const auto add = [&](load_counts &to) {
         to.asked += use.decides.priority_weight;
         to.served += worth;
         ++to.queries;
@@ -238,7 +238,7 @@
         on_settled(of.now.proxy, worth, use.decides.priority_weight);
     const double at = of.intended - began_;
     add(slots_[std::min(slots_.size() - 1, static_cast<std::size_t>(std::max(0.0, at) / slot_length_))]);
-    if (at < given_.settle)
+    if (at < experiment_.settle)
         return;
     add(settled_);
     add(by_use_[of.now.use_case]);
@@ -246,15 +246,15 @@
         add(by_tenant_[of.now.tenant]);
 }
 
-void clients::pause(bool begins) {
+void load_generator::pause(bool begins) {
     pauses_ += begins ? 1 : static_cast<index>(-1);
     if (pauses_ > 0)
         return;
-    const auto all = std::move(held_);
-    held_.clear();
+    const auto all = std::move(delayed_attempts_);
+    delayed_attempts_.clear();
     for (const auto &[op, due] : all)
         if (open_.contains(op))
-            ask(op, due);
+            send_attempt(op, due);
 }
 
 } // namespace harrierpass::testbed
--- a/src/testbed/loop/channel.cpp
+++ b/src/testbed/loop/channel.cpp
@@ -24,7 +24,7 @@
     return ntohs(reinterpret_cast<const sockaddr_in *>(&of.where)->sin_port);
 }
 
-tcp_socket dial_soon(const address &to) {
+tcp_socket start_connecting(const address &to) {
     tcp_socket made(::socket(to.where.ss_family, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
     if (!made)
         return made;
@@ -45,26 +45,26 @@
     loop_.watch(socket_.get(), EPOLLIN | (connecting ? EPOLLOUT : 0U),
                 [self = weak_from_this()](std::uint32_t events) {
                     if (const auto here = self.lock())
-                        here->came(events);
+                        here->on_events(events);
                 });
 }
 
-void channel::ask() {
-    if (socket_ && !gone_)
+void channel::update_interest() {
+    if (socket_ && !peer_gone_)
         loop_.change(socket_.get(),
-                     still_ ? EPOLLRDHUP : EPOLLIN | (connecting_ || !out_.empty() ? EPOLLOUT : 0U));
+                     frozen_ ? EPOLLRDHUP : EPOLLIN | (connecting_ || !out_.empty() ? EPOLLOUT : 0U));
 }
 
-void channel::stand(bool still) {
-    still_ = still;
-    if (gone_ && !still_ && socket_)
-        return lost(ending::closed);
-    ask();
+void channel::set_frozen(bool frozen) {
+    frozen_ = frozen;
+    if (peer_gone_ && !frozen_ && socket_)
+        return end_by_peer(ending::closed);
+    update_interest();
 }
 
 void channel::send(std::string_view text) {
     out_ += text;
-    if (!connecting_ && !still_)
+    if (!connecting_ && !frozen_)
         write();
 }
 
@@ -72,19 +72,19 @@
     while (socket_ && !out_.empty()) {
         const auto wrote = ::send(socket_.get(), out_.data(), out_.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
         if (wrote < 0 && (errno == EAGAIN || errno == EWOULDBLOCK))
-            return ask();
+            return update_interest();
         if (wrote <= 0)
-            return lost(ending::reset);
+            return end_by_peer(ending::reset);
         out_.erase(0, static_cast<std::size_t>(wrote));
         if (out_.empty())
-            ask();
+            update_interest();
     }
 }
 
 void channel::end(bool reset) {
     if (!socket_)
         return;
-    if (!gone_)
+    if (!peer_gone_)
         loop_.forget(socket_.get());
     if (reset) {
         const linger none_left{1, 0};
@@ -94,7 +94,7 @@
     // The reader may be in use further up the stack: a message's owner ends its connection from within.
 }
 
-void channel::lost(ending how) {
+void channel::end_by_peer(ending how) {
     if (!socket_)
         return;
     const auto self = shared_from_this();
@@ -103,15 +103,15 @@
         call(self, how);
 }
 
-void channel::came(std::uint32_t events) {
+void channel::on_events(std::uint32_t events) {
     const auto self = shared_from_this();
-    if (still_) { // errors are told whatever is asked for
-        if ((events & (EPOLLRDHUP | EPOLLERR | EPOLLHUP)) == 0 || gone_)
+    if (frozen_) { // errors are told whatever is asked for
+        if ((events & (EPOLLRDHUP | EPOLLERR | EPOLLHUP)) == 0 || peer_gone_)
             return;
-        gone_ = true;
+        peer_gone_ = true;
         loop_.forget(socket_.get());
-        if (on_gone)
-            on_gone(self);
+        if (on_peer_closed_while_frozen)
+            on_peer_closed_while_frozen(self);
         return;
     }
     if (connecting_ && (events & (EPOLLOUT | EPOLLERR | EPOLLHUP)) != 0) {
@@ -119,9 +119,9 @@
         socklen_t size = sizeof failed;
         getsockopt(socket_.get(), SOL_SOCKET, SO_ERROR, &failed, &size);
         if (failed != 0)
-            return lost(ending::failed);
+            return end_by_peer(ending::failed);
         connecting_ = false;
-        ask();
+        update_interest();
     }
     if ((events & EPOLLOUT) != 0)
         write();
@@ -130,10 +130,10 @@
 }
 
 void channel::read() {
-    while (socket_ && !still_) {
+    while (socket_ && !frozen_) {
         if (!buffer_) {
             buffer_ = std::make_unique<char[]>(buffer_size);
-            reader_ = std::make_unique<http_reader>(std::span(buffer_.get(), buffer_size), side_);
+            reader_ = std::make_unique<http_reader>(std::span(buffer_.get(), buffer_size), reads_);
         }
         auto state = http_reader::state::incomplete;
         const long got = read_some(socket_, reader_->free_space().data(), reader_->free_space().size());
@@ -145,7 +145,7 @@
             return;
         }
         if (got > 0) {
-            begun_ = true;
+            partial_message_ = true;
             state = reader_->received(static_cast<std::size_t>(got));
         } else {
             state = got == 0 ? reader_->on_peer_closed() : http_reader::state::truncated;
@@ -153,19 +153,19 @@
         if (state == http_reader::state::incomplete)
             continue;
         if (state == http_reader::state::truncated)
-            return lost(got == 0 ? ending::closed : ending::reset);
+            return end_by_peer(got == 0 ? ending::closed : ending::reset);
         if (state != http_reader::state::complete)
-            return lost(ending::malformed);
+            return end_by_peer(ending::malformed);
         while (state == http_reader::state::complete) {
             ++messages;
-            begun_ = false;
+            partial_message_ = false;
             on_message(shared_from_this(), *reader_);
             if (!socket_)
                 return;
             const std::string rest(reader_->pipelined_bytes());
             std::memcpy(buffer_.get(), rest.data(), rest.size());
             reader_ =
-                std::make_unique<http_reader>(std::span(buffer_.get(), buffer_size), side_, rest.size());
+                std::make_unique<http_reader>(std::span(buffer_.get(), buffer_size), reads_, rest.size());
             if (rest.empty()) {
                 reader_.reset();
                 buffer_.reset();
@@ -174,9 +174,9 @@
             state = reader_->parse_buffered();
         }
         if (state != http_reader::state::complete && state != http_reader::state::incomplete)
-            return lost(ending::malformed);
+            return end_by_peer(ending::malformed);
         if (got == 0)
-            return lost(ending::closed);
+            return end_by_peer(ending::closed);
     }
 }
 
--- a/src/testbed/processes/faulty_proxy.cpp
+++ b/src/testbed/processes/faulty_proxy.cpp
@@ -19,18 +19,18 @@
 
 using nlohmann::json;
 
-constexpr int plant_every = 20;      // chances to a planted fault
+constexpr int fault_interval = 20;   // chances to a planted fault
 constexpr double list_period = 0.05; // s between calls for the whole list
 constexpr double late_by = 0.5;      // s after a client's end
 
-class front {
+class faulty_proxy {
 public:
-    front(plant breaks, const json &given)
-        : breaks_(breaks), chance_(7), discovery_(*parse_address(given.at("discovery").get<std::string>())),
+    faulty_proxy(plant breaks, const json &given)
+        : breaks_(breaks), random_(7), discovery_(*parse_address(given.at("discovery").get<std::string>())),
           listening_(must_listen(*parse_address(given.at("listen").get<std::string>()))) {
         for (const auto &each : given.at("settings").at("useCases"))
             if (each.at("effect") == "at_most_once")
-                once_.insert(each.at("name").get<std::string>());
+                at_most_once_classes_.insert(each.at("name").get<std::string>());
         sigset_t taken;
         sigemptyset(&taken);
         sigaddset(&taken, SIGTERM);
@@ -41,7 +41,7 @@
         std::cerr << "started name=" << given.at("name").get<std::string>()
                   << " listen=" << to_text(local_address(listening_)) << " plant=" << name_of(breaks)
                   << std::endl;
-        ask_list();
+        poll_list();
     }
     void run() {
         loop_.run([this] { return over_; });
@@ -53,22 +53,23 @@
         bool ready = true;
         double started = 0;
     };
-    struct query {
+    struct proxied_request {
         std::string text, id;
         double end = 0;
-        bool once = false;
+        bool at_most_once = false;
     };
     using link = std::shared_ptr<channel>;
 
-    bool now(plant which) { return breaks_ == which && ++chances_ % plant_every == 0; }
+    bool breaks_now(plant which) { return breaks_ == which && ++opportunities_ % fault_interval == 0; }
 
-    link connect(const address &to, const std::function<void(const http_reader &)> &came,
+    link connect(const address &to, const std::function<void(const http_reader &)> &on_response,
                  const std::function<void(bool reached)> &failed) {
-        auto made = std::make_shared<channel>(loop_, dial_soon(to), http_reader::message_kind::response);
+        auto made =
+            std::make_shared<channel>(loop_, start_connecting(to), http_reader::message_kind::response);
         made->tag = next_++;
         open_[made->tag] = made;
-        made->on_message = [this, came](const link &on, const http_reader &answer) {
-            came(answer);
+        made->on_message = [this, on_response](const link &on, const http_reader &answer) {
+            on_response(answer);
             drop(on);
         };
         made->on_end = [this, failed](const link &on, channel::ending how) {
@@ -83,8 +84,8 @@
         loop_.clock.after(0, [this, tag = on->tag] { open_.erase(tag); });
     }
 
-    void ask_list() {
-        const auto again = [this] { loop_.clock.after(list_period, [this] { ask_list(); }); };
+    void poll_list() {
+        const auto again = [this] { loop_.clock.after(list_period, [this] { poll_list(); }); };
         connect(
             discovery_,
             [this, again](const http_reader &answer) {
@@ -103,24 +104,24 @@
     const server *choose() {
         std::vector<const server *> ready;
         for (const auto &each : servers_) {
-            if (breaks_ == plant::ignore_drain && !each.ready && chances_++ % 4 == 0)
+            if (breaks_ == plant::ignore_drain && !each.ready && opportunities_++ % 4 == 0)
                 return &each;
             if (breaks_ == plant::push_cold && each.ready && each.started > loop_.clock.now() - 5)
                 return &each;
             if (each.ready)
                 ready.push_back(&each);
         }
-        return ready.empty() ? nullptr : ready[chance_.below(static_cast<std::uint32_t>(ready.size()))];
+        return ready.empty() ? nullptr : ready[random_.below(static_cast<std::uint32_t>(ready.size()))];
     }
 
-    void send(const query &what, const std::function<void(const http_reader &)> &came,
+    void send(const proxied_request &what, const std::function<void(const http_reader &)> &on_response,
               const std::function<void(bool)> &failed) {
         const server *const to = choose();
         if (to == nullptr)
             return failed(false);
-        connect(to->at, came, failed)->send(what.text);
+        connect(to->at, on_response, failed)->send(what.text);
     }
-    void send_unheard(const query &what) {
+    void send_ignoring_response(const proxied_request &what) {
         send(
             what, [](const http_reader &) {}, [](bool) {});
     }
@@ -132,30 +133,30 @@
                 std::make_shared<channel>(loop_, std::move(one), http_reader::message_kind::request);
             made->tag = next_++;
             open_[made->tag] = made;
-            made->on_message = [this](const link &on, const http_reader &asked) { take(on, asked); };
+            made->on_message = [this](const link &on, const http_reader &request) { take(on, request); };
             made->on_end = [this](const link &on, channel::ending) { drop(on); };
             made->start(false);
         }
     }
 
-    void take(const link &on, const http_reader &asked) {
-        const auto &head = asked.head();
+    void take(const link &on, const http_reader &request) {
+        const auto &head = request.head();
         if (head.target == "/_health")
             return on->send(text_answer(servers_.empty() ? 503 : 200, {}, {}));
-        query what;
+        proxied_request what;
         what.id = head.header("X-Request-Id");
         what.end = loop_.clock.now() + parse_timeout(head.header("X-Deadline"));
-        what.once = once_.contains(std::string(head.header("X-Class")));
+        what.at_most_once = at_most_once_classes_.contains(std::string(head.header("X-Class")));
         what.text.append(head.method).append(" ").append(head.target).append(" HTTP/1.1\r\nHost: lab\r\n");
         for (const auto &each : head.fields)
             if (!is_hop_by_hop(head, each.name) && !equals_ignoring_case(each.name, "Host") &&
                 !equals_ignoring_case(each.name, "Content-Length"))
                 what.text.append(each.name).append(": ").append(each.value).append("\r\n");
-        if (!asked.body().empty())
-            what.text.append("Content-Length: ").append(std::to_string(asked.body().size())).append("\r\n");
-        what.text.append("\r\n").append(asked.body());
-        if (now(plant::two_out))
-            send_unheard(what);
+        if (!request.body().empty())
+            what.text.append("Content-Length: ").append(std::to_string(request.body().size())).append("\r\n");
+        what.text.append("\r\n").append(request.body());
+        if (breaks_now(plant::two_out))
+            send_ignoring_response(what);
         const std::weak_ptr<channel> client = on;
         const auto say = [client](int status, std::string_view body) {
             if (const auto to = client.lock(); to && to->open())
@@ -168,41 +169,41 @@
                                    : answer.head().status == 200 ? 200
                                                                  : 502;
                 std::string body(answer.body());
-                if (status == 200 && now(plant::lose))
+                if (status == 200 && breaks_now(plant::lose))
                     return;
-                if (status == 200 && now(plant::wrong_body))
+                if (status == 200 && breaks_now(plant::wrong_body))
                     body = "{\"query\":\"q0-9\"}\n";
                 say(status, body);
-                if (now(plant::answer_twice))
+                if (breaks_now(plant::answer_twice))
                     say(status, body);
-                if (status == 200 && what.once && breaks_ == plant::run_twice)
-                    send_unheard(what);
-                if (now(plant::late))
-                    loop_.clock.at(what.end + late_by, [this, what] { send_unheard(what); });
+                if (status == 200 && what.at_most_once && breaks_ == plant::run_twice)
+                    send_ignoring_response(what);
+                if (breaks_now(plant::late))
+                    loop_.clock.at(what.end + late_by, [this, what] { send_ignoring_response(what); });
             },
             [say](bool reached) { say(reached ? 502 : 503, {}); });
     }
 
     const plant breaks_;
     loop loop_;
-    chance chance_;
+    chance random_;
     const address discovery_;
     tcp_socket listening_, signals_;
-    std::set<std::string> once_; // use cases that must not run again
+    std::set<std::string> at_most_once_classes_; // use cases that must not run again
     std::vector<server> servers_;
     std::map<std::uint64_t, link> open_;
     std::uint64_t next_ = 1;
-    int chances_ = 0;
+    int opportunities_ = 0;
     bool over_ = false;
 };
 
 } // namespace
 
-int run_plant_proxy(plant breaks, const std::string &configuration) {
+int run_faulty_proxy(plant breaks, const std::string &configuration) {
     std::ifstream in(configuration);
     if (!in)
         throw bad_experiment(configuration + ": cannot be read");
-    front(breaks, json::parse(in)).run();
+    faulty_proxy(breaks, json::parse(in)).run();
     return 0;
 }
 
--- a/src/testbed/processes/faulty_proxy.hpp
+++ b/src/testbed/processes/faulty_proxy.hpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 // A stand-in for a proxy on sockets that breaks one rule on purpose, every so many chances, so that the
-// referee over processes can be shown to see it. It deals queries out over the ready servers by chance and
-// knows nothing else; without a plant it breaks no rule.
+// rule checker over processes can be shown to see it. It deals queries out over the ready servers by chance
+// and knows nothing else; without a plant it breaks no rule.
 #pragma once
 
 #include "testbed/model/experiment.hpp"
@@ -9,6 +9,6 @@
 namespace harrierpass::testbed {
 
 // Until SIGTERM. `configuration`: a proxy's, as fleet_ports writes it.
-int run_plant_proxy(plant breaks, const std::string &configuration);
+int run_faulty_proxy(plant breaks, const std::string &configuration);
 
 } // namespace harrierpass::testbed
--- a/src/testbed/processes/fleet_ports.cpp
+++ b/src/testbed/processes/fleet_ports.cpp
@@ -14,16 +14,16 @@
 namespace harrierpass::testbed {
 namespace {
 
-constexpr std::uint32_t part_net = 0x7f780000; // 127.120.0.0 and on: servers and lists in processes
-constexpr double judge_period = 0.05;          // s between looks at what can be judged
-constexpr std::size_t spare = 200;             // descriptors for the rest of this process
+constexpr std::uint32_t worker_network = 0x7f780000; // 127.120.0.0 and on: servers and lists in processes
+constexpr double check_period = 0.05;                // s between looks at what can be judged
+constexpr std::size_t spare = 200;                   // descriptors for the rest of this process
 
-address part_address(index number, int port) {
-    return ipv4(part_net + (static_cast<std::uint32_t>(::getpid() % 64) << 16) + number + 1, port);
+address worker_address(index number, int port) {
+    return ipv4(worker_network + (static_cast<std::uint32_t>(::getpid() % 64) << 16) + number + 1, port);
 }
 
-part_message about(const member_list::member &what, part_message::kind as) {
-    part_message made;
+worker_message about(const member_list::member &what, worker_message::kind as) {
+    worker_message made;
     made.is = as;
     made.small = static_cast<std::uint8_t>(what.state);
     made.a = what.server;
@@ -34,23 +34,23 @@
 
 } // namespace
 
-fleet_ports::fleet_ports(loop &in, stage &of, const fleet_places &where, const part_options &parts)
-    : loop_(in), stage_(of), folder_(parts.folder) {
-    const bool processes = !parts.self.empty();
+fleet_ports::fleet_ports(loop &in, stage &of, const fleet_listen_ports &where, const worker_options &options)
+    : loop_(in), stage_(of), folder_(options.folder) {
+    const bool processes = !options.self.empty();
     const bool serves_here = !processes || of.given.fleet.hosts == 0;
     const bool lists_here = !processes || !of.given.list.own_process;
     const index count = of.servers.size() + (of.given.fleet.aside ? 1 : 0);
     // Parts are at addresses of their own, under one port that is free at this moment: what is dialled from
-    // here cannot take a place that a killed part comes back to.
-    const tcp_socket free = must_listen(part_address(60000, 0));
+    // here cannot take a place that a killed worker comes back to.
+    const tcp_socket free = must_listen(worker_address(60000, 0));
     const int port = port_of(local_address(free));
-    where_ = [this](index proxy, index server) {
+    server_address_ = [this](index proxy, index server) {
         const auto link = server_links_.find({proxy, server});
         return link == server_links_.end() ? hosts_.at(server) : link->second;
     };
     for (index i = 0; i < count; ++i) {
         if (!serves_here) {
-            hosts_.push_back(to_text(part_address(i, port)));
+            hosts_.push_back(to_text(worker_address(i, port)));
             continue;
         }
         servers_.push_back(std::make_unique<server_port>(
@@ -62,14 +62,14 @@
     hosts_.resize(of.servers.size() + 1);
     for (index i = 0; i < of.given.proxies.count; ++i) {
         if (!lists_here) {
-            list_addresses_.push_back(part_address(of.servers.size() + 1 + i, port));
+            list_addresses_.push_back(worker_address(of.servers.size() + 1 + i, port));
             continue;
         }
         lists_.push_back(std::make_unique<list_port>(
             in, of.given, of.list, of.service, of.sees, i,
-            loopback(where.first_list > 0 ? where.first_list + static_cast<int>(i) : 0), where_));
-        lists_.back()->on_call = [this](list_call as, std::size_t bytes) {
-            stage_.figures.called(as, bytes);
+            loopback(where.first_list > 0 ? where.first_list + static_cast<int>(i) : 0), server_address_));
+        lists_.back()->on_poll = [this](list_poll as, std::size_t bytes) {
+            stage_.figures.on_poll(as, bytes);
         };
         list_addresses_.push_back(*parse_address(lists_.back()->at()));
     }
@@ -80,7 +80,7 @@
     of.on_list_kill = [this](bool begins) { on_list(true, begins); };
     make_links();
     if (processes)
-        make_parts(parts);
+        start_workers(options);
 }
 
 fleet_ports::~fleet_ports() {
@@ -95,7 +95,7 @@
         for (index i = 0; i < stage_.given.proxies.count; ++i) {
             // Its port is any that is free now; nobody else in the run binds at this address.
             const tcp_socket probe(::socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
-            const address at = part_address(61000 + i, 0);
+            const address at = worker_address(61000 + i, 0);
             if (!probe || ::bind(probe.get(), reinterpret_cast<const sockaddr *>(&at.where), at.size) != 0)
                 throw std::system_error(errno, std::generic_category(), "no address for a proxy's datagrams");
             peers_.push_back(local_address(probe));
@@ -110,21 +110,21 @@
         else if (each.kind == link_kind::proxy_list)
             list_links_[each.near] = to_text(relay_->open(each, list_addresses_.at(each.near)));
     }
-    stage_.on_link = [this](const link_id &which, const link_now &before, const link_now &now) {
-        relay_->changed(which, before, now);
+    stage_.on_link = [this](const link_id &which, const link_conditions &before, const link_conditions &now) {
+        relay_->on_conditions_changed(which, before, now);
     };
     stage_.on_model = [this](const fault_spec &fault, index server, bool begins) {
         const bool as_a_host = fault.kind == fault_kind::host_kill || fault.kind == fault_kind::host_stop;
         const index host = host_of(stage_.given, server);
-        if (host < hosts_parts_.size() && !as_a_host) {
-            part_message made;
-            made.is = part_message::kind::fault;
+        if (host < server_workers_.size() && !as_a_host) {
+            worker_message made;
+            made.is = worker_message::kind::fault;
             made.small = static_cast<std::uint8_t>(fault.kind);
             made.flag = begins;
             made.a = server;
             made.b = fault.use_case;
             made.x = fault.factor;
-            hosts_parts_[host]->send(made);
+            server_workers_[host]->send(made);
         }
         if (!as_a_host || begins)
             follow(server);
@@ -136,10 +136,10 @@
 // A relay cannot refuse or be silent by itself as a far end is: the listener before it does what that would.
 void fleet_ports::follow(index server) {
     const auto &of = stage_.servers.at(server);
-    relay_->far_end(link_kind::proxy_server, server,
-                    of.silent() ? far_state::silent
-                    : of.up()   ? far_state::up
-                                : far_state::refuses);
+    relay_->set_far_state(link_kind::proxy_server, server,
+                          of.silent() ? far_state::silent
+                          : of.up()   ? far_state::up
+                                      : far_state::refuses);
 }
 
 std::string fleet_ports::list_at(index proxy) const {
@@ -149,12 +149,12 @@
 
 address fleet_ports::proxy_at(index proxy, const address &itself) {
     const link_id which{link_kind::client_proxy, 0, proxy};
-    if (!stage_.links.names(which))
+    if (!stage_.links.contains(which))
         return itself;
     const auto known = proxy_links_.find(proxy);
     if (known == proxy_links_.end())
         return proxy_links_[proxy] = relay_->open(which, itself);
-    relay_->move(which, itself);
+    relay_->set_far_address(which, itself);
     return known->second;
 }
 
@@ -186,100 +186,100 @@
     std::ofstream(folder_ + "/" + name + ".json") << text;
 }
 
-void fleet_ports::make_parts(const part_options &parts) {
+void fleet_ports::start_workers(const worker_options &options) {
     if (stage_.given.fleet.hosts == 0 && !stage_.given.list.own_process)
         return;
     std::ofstream(folder_ + "/experiment.toml") << stage_.given.whole;
     const auto made = [&](const std::string &name, const std::string &text) {
         write_setup(name, text);
-        auto part = std::make_unique<part_process>(
+        auto worker = std::make_unique<worker_process>(
             loop_, stage_.events,
-            std::vector<std::string>{parts.self, "part", folder_ + "/" + name + ".json"},
+            std::vector<std::string>{options.self, "part", folder_ + "/" + name + ".json"},
             folder_ + "/" + name + ".log");
-        part->on_death = [this] { ++deaths_; };
-        return part;
+        worker->on_death = [this] { ++deaths_; };
+        return worker;
     };
     for (index host = 0; host < stage_.given.fleet.hosts; ++host) {
-        hosts_parts_.push_back(made("servers" + std::to_string(host), setup("servers", host, false)));
-        serve(*hosts_parts_.back(), host);
-        hosts_parts_.back()->start();
+        server_workers_.push_back(made("servers" + std::to_string(host), setup("servers", host, false)));
+        serve(*server_workers_.back(), host);
+        server_workers_.back()->start();
     }
     stage_.on_host = [this](index host, fault_kind kind, bool begins) { on_host(host, kind, begins); };
     if (stage_.given.fleet.hosts > 0)
         stage_.servers.on_wrote = [this](std::uint64_t key) {
-            part_message told;
-            told.is = part_message::kind::void_copy;
+            worker_message told;
+            told.is = worker_message::kind::void_copy;
             told.key = key;
-            for (const auto &each : hosts_parts_)
+            for (const auto &each : server_workers_)
                 each->send(told);
         };
     if (stage_.given.list.own_process) {
-        list_part_ = made("list", setup("list", 0, false));
-        list_part_->on_message = [this](const part_message &what) {
-            if (what.is == part_message::kind::call)
-                stage_.figures.called(static_cast<list_call>(what.small), what.number);
+        list_worker_ = made("list", setup("list", 0, false));
+        list_worker_->on_message = [this](const worker_message &what) {
+            if (what.is == worker_message::kind::poll)
+                stage_.figures.on_poll(static_cast<list_poll>(what.small), what.number);
         };
         stage_.list.on_change = [this](const membership::member &what) {
-            list_part_->send(about(what, part_message::kind::publish));
+            list_worker_->send(about(what, worker_message::kind::publish));
         };
-        list_part_->start();
-        tell_list();
+        list_worker_->start();
+        publish_list();
     }
     const auto again = [this](const auto &self) -> void {
-        stage_.events.heard(stage_.own_events, loop_.clock.now());
-        stage_.events.judge();
-        loop_.clock.after(judge_period, [self] { self(self); });
+        stage_.events.advance_source(stage_.own_events, loop_.clock.now());
+        stage_.events.deliver_ready();
+        loop_.clock.after(check_period, [self] { self(self); });
     };
     again(again);
 }
 
 void fleet_ports::connection(index server, bool begins) {
     if (!begins)
-        return stage_.figures.closed(server);
-    stage_.figures.dialled(server, true);
-    stage_.figures.opened(server);
+        return stage_.figures.on_connection_closed(server);
+    stage_.figures.on_connect(server, true);
+    stage_.figures.on_connection_opened(server);
 }
 
 // What the origin and its marks are to all servers is here, wherever they are.
-void fleet_ports::serve(part_process &part, index host) {
-    part.on_message = [this, &part](const part_message &what) {
-        part_message made;
+void fleet_ports::serve(worker_process &worker, index host) {
+    worker.on_message = [this, &worker](const worker_message &what) {
+        worker_message made;
         made.number = what.number;
-        if (what.is == part_message::kind::fetch)
-            return stage_.servers.source().fetch([&part, made](bool there) mutable {
-                made.is = part_message::kind::fetched;
+        if (what.is == worker_message::kind::fetch)
+            return stage_.servers.source().fetch([&worker, made](bool there) mutable {
+                made.is = worker_message::kind::fetched;
                 made.flag = there;
-                part.send(made);
+                worker.send(made);
             });
-        if (what.is == part_message::kind::write) {
+        if (what.is == worker_message::kind::write) {
             const job asked{what.event.op, what.event.a, what.event.b, true, what.flag != 0, what.key, none};
-            return stage_.servers.write(asked, what.a, [&part, made](bool seen, bool there) mutable {
-                made.is = part_message::kind::written;
+            return stage_.servers.write(asked, what.a, [&worker, made](bool seen, bool there) mutable {
+                made.is = worker_message::kind::written;
                 made.flag = seen;
                 made.flag2 = there;
-                part.send(made);
+                worker.send(made);
             });
         }
-        if (what.is == part_message::kind::connection)
+        if (what.is == worker_message::kind::connection)
             return connection(what.a, what.flag != 0);
-        if (what.is == part_message::kind::event && what.event.is == seen::kind::fell) {
+        if (what.is == worker_message::kind::event && what.event.is == observed_event::kind::fell) {
             stage_.servers.at(what.event.a).fall();
             follow(what.event.a);
         }
     };
-    part.on_ready = [this, &part, host] {
+    worker.on_ready = [this, &worker, host] {
         for (index i = 0; i < stage_.servers.size(); ++i) {
             if (host_of(stage_.given, i) != host)
                 continue;
             // What the script has made of it meanwhile: a new process knows nothing of it.
             const bool up = stage_.servers.at(i).up(), from_start = i < stage_.given.fleet.servers;
             if (up != from_start) {
-                part_message made;
-                made.is = part_message::kind::fault;
+                worker_message made;
+                made.is = worker_message::kind::fault;
                 made.small = static_cast<std::uint8_t>(up ? fault_kind::join : fault_kind::crash);
                 made.flag = 1;
                 made.a = i;
-                part.send(made);
+                worker.send(made);
             }
             follow(i);
         }
@@ -287,68 +287,68 @@
 }
 
 void fleet_ports::on_host(index host, fault_kind kind, bool begins) {
-    auto &part = *hosts_parts_.at(host);
+    auto &worker = *server_workers_.at(host);
     if (kind == fault_kind::host_stop) {
         stopped_[host] += begins ? 1 : static_cast<index>(-1);
-        return part.stop(stopped_[host] > 0);
+        return worker.stop(stopped_[host] > 0);
     }
     if (begins && killed_[host]++ == 0) {
         const double before = loop_.exact();
-        part.kill();
+        worker.kill();
         // Later than all that it had written, and earlier than what anybody does for its death.
-        seen died;
-        died.is = seen::kind::died;
-        died.when = std::max(before, part.last()) + 1e-7;
+        observed_event died;
+        died.is = observed_event::kind::died;
+        died.when = std::max(before, worker.last()) + 1e-7;
         for (index i = 0; i < stage_.servers.size(); ++i)
             if (host_of(stage_.given, i) == host) {
                 died.a = i;
-                stage_.events.put(stage_.own_events, died);
+                stage_.events.add(stage_.own_events, died);
             }
     } else if (!begins && --killed_[host] == 0) {
         write_setup("servers" + std::to_string(host), setup("servers", host, true));
-        part.start();
+        worker.start();
     }
 }
 
-void fleet_ports::tell_list() {
+void fleet_ports::publish_list() {
     for (const auto &each : stage_.list.all())
-        list_part_->send(about(each, part_message::kind::load));
+        list_worker_->send(about(each, worker_message::kind::load));
 }
 
 // In one loop with the rest, a list service that is killed or stopped is silent; as a process it is the real
 // thing.
 void fleet_ports::on_list(bool kills, bool begins) {
-    if (!list_part_)
+    if (!list_worker_)
         return stage_.list.silent(begins);
     auto &held = kills ? killed_.back() : stopped_.back();
     held += begins ? 1 : static_cast<index>(-1);
     if (!kills)
-        return list_part_->stop(held > 0);
+        return list_worker_->stop(held > 0);
     if (begins && held == 1) {
-        list_part_->kill();
+        list_worker_->kill();
     } else if (!begins && held == 0) {
-        list_part_->start();
-        tell_list();
+        list_worker_->start();
+        publish_list();
     }
 }
 
 bool fleet_ports::ready() const {
-    return std::all_of(hosts_parts_.begin(), hosts_parts_.end(),
+    return std::all_of(server_workers_.begin(), server_workers_.end(),
                        [](const auto &each) { return each->ready(); }) &&
-           (!list_part_ || list_part_->ready() || killed_.back() > 0);
+           (!list_worker_ || list_worker_->ready() || killed_.back() > 0);
 }
 
 void fleet_ports::end() {
-    for (const auto &each : hosts_parts_)
+    for (const auto &each : server_workers_)
         each->end();
-    if (list_part_)
-        list_part_->end();
+    if (list_worker_)
+        list_worker_->end();
 }
 
 bool fleet_ports::ended() const {
-    return std::none_of(hosts_parts_.begin(), hosts_parts_.end(),
+    return std::none_of(server_workers_.begin(), server_workers_.end(),
                         [](const auto &each) { return each->runs(); }) &&
-           !(list_part_ && list_part_->runs());
+           !(list_worker_ && list_worker_->runs());
 }
 
 std::string fleet_ports::configuration(index proxy, const std::string &listen, std::uint32_t seed) const {
@@ -407,15 +407,15 @@
     if (given.proxies.peers) {
         made["peer_listen"] = to_text(peers_.at(proxy));
         for (index other = 0; other < given.proxies.count; ++other)
-            made["peers"].push_back(to_text(datagrams_->as_seen(proxy, other)));
-        made["peers_all"] = to_text(datagrams_->all_as_seen(proxy));
+            made["peers"].push_back(to_text(datagrams_->address_of(proxy, other)));
+        made["peers_all"] = to_text(datagrams_->broadcast_address(proxy));
     }
     if (given.proxies.known != known_list::none) {
         const bool old = knows_old(given, proxy);
         json members = json::array();
         for (const auto &each : stage_.list.known_by(given, proxy))
             members.push_back(json::parse(list_port::entry(given, each, each.server == stage_.servers.size(),
-                                                           where_(proxy, each.server))));
+                                                           server_address_(proxy, each.server))));
         made["known"] = {
             {"revision", old ? 0 : stage_.list.revision()}, {"complete", true}, {"members", members}};
     }
--- a/src/testbed/processes/fleet_ports.hpp
+++ b/src/testbed/processes/fleet_ports.hpp
@@ -12,19 +12,20 @@
 
 namespace harrierpass::testbed {
 
-struct fleet_places {
+struct fleet_listen_ports {
     int first_server = 0, first_list = 0; // ports; 0: any
 };
 
-// How parts become processes; without `self` all is in the caller's loop.
-struct part_options {
-    std::string self;   // this program, which can be a part
+// How workers become processes; without `self` all is in the caller's loop.
+struct worker_options {
+    std::string self;   // this program, which can be a worker
     std::string folder; // for setups and logs
 };
 
 class fleet_ports {
 public:
-    fleet_ports(loop &in, stage &of, const fleet_places &where = {}, const part_options &parts = {});
+    fleet_ports(loop &in, stage &of, const fleet_listen_ports &where = {},
+                const worker_options &options = {});
     ~fleet_ports();
     fleet_ports(const fleet_ports &) = delete;
     fleet_ports &operator=(const fleet_ports &) = delete;
@@ -36,21 +37,21 @@
     // The configuration of a proxy of this fleet, as JSON.
     std::string configuration(index proxy, const std::string &listen, std::uint32_t seed) const;
 
-    bool ready() const; // all parts are up
-    void end();         // the parts, told so
+    bool ready() const; // all workers are up
+    void end();         // the workers, told so
     bool ended() const;
     // Descriptors that this process needs for it, as far as the experiment tells.
     static std::size_t descriptors(const experiment &given, std::size_t links);
-    std::uint64_t deaths() const { return deaths_; } // of parts, by themselves
+    std::uint64_t deaths() const { return deaths_; } // of workers, by themselves
     const datagram_relay *datagrams() const { return datagrams_.get(); }
 
 private:
     void make_links();
-    void make_parts(const part_options &parts);
+    void start_workers(const worker_options &options);
     std::string setup(const std::string &role, index host, bool cold) const;
     void write_setup(const std::string &name, const std::string &text) const;
-    void serve(part_process &part, index host);
-    void tell_list();
+    void serve(worker_process &worker, index host);
+    void publish_list();
     void on_host(index host, fault_kind kind, bool begins);
     void on_list(bool kills, bool begins);
     void follow(index server);
@@ -68,10 +69,10 @@
     std::map<std::pair<index, index>, std::string> server_links_; // by proxy, server
     std::map<index, std::string> list_links_;                     // by proxy
     std::map<index, address> proxy_links_;
-    server_places where_;
+    server_address_lookup server_address_;
     std::string folder_;
-    std::vector<std::unique_ptr<part_process>> hosts_parts_; // by host
-    std::unique_ptr<part_process> list_part_;
+    std::vector<std::unique_ptr<worker_process>> server_workers_; // by host
+    std::unique_ptr<worker_process> list_worker_;
     std::vector<index> killed_, stopped_; // by host: faults that hold it; the list's behind them
     std::uint64_t deaths_ = 0;
 };
--- a/src/testbed/processes/list_port.cpp
+++ b/src/testbed/processes/list_port.cpp
@@ -11,9 +11,10 @@
 namespace harrierpass::testbed {
 
 list_port::list_port(loop &in, const experiment &given, member_list &list, list_service &service,
-                     witness &sees, index proxy, const address &at, const server_places &where)
-    : loop_(in), given_(given), list_(list), service_(service), sees_(sees), proxy_(proxy), where_(where),
-      listening_(must_listen(at)), at_(local_address(listening_)), chance_(proxy + 17) {
+                     witness &checker, index proxy, const address &at, const server_address_lookup &where)
+    : loop_(in), experiment_(given), list_(list), service_(service), observer_(checker), proxy_(proxy),
+      server_address_(where), listening_(must_listen(at)), at_(local_address(listening_)),
+      random_(proxy + 17) {
     loop_.watch(listening_.get(), EPOLLIN, [this](std::uint32_t) { accept(); });
 }
 
@@ -27,11 +28,11 @@
         const auto made =
             std::make_shared<channel>(loop_, std::move(one), http_reader::message_kind::request);
         made->tag = next_++;
-        made->on_message = [this](const auto &on, const http_reader &asked) { message(on, asked); };
+        made->on_message = [this](const auto &on, const http_reader &request) { on_request(on, request); };
         made->on_end = [this](const auto &on, channel::ending) {
-            if (const auto call = calls_.find(on->tag); call != calls_.end()) {
-                service_.drop(call->second);
-                calls_.erase(call);
+            if (const auto poll = polls_.find(on->tag); poll != polls_.end()) {
+                service_.drop(poll->second);
+                polls_.erase(poll);
             }
             open_.erase(on->tag);
         };
@@ -40,21 +41,22 @@
     }
 }
 
-void list_port::message(const std::shared_ptr<channel> &on, const http_reader &asked) {
-    const auto target = asked.head().target;
+void list_port::on_request(const std::shared_ptr<channel> &on, const http_reader &request) {
+    const auto target = request.head().target;
     if (!target.starts_with("/catalog/members"))
         return on->send(text_answer(404, {}, {}));
-    if (!list_.answers() || chance_.happens(given_.list.lose))
+    if (!list_.answers() || random_.happens(experiment_.list.lose))
         return; // silent, or lost on its way
     const long since = number_in(target, "since=");
     const double wait = static_cast<double>(number_in(target, "timeout_ms=")) / 1000;
     const auto revision = since < 0 ? std::nullopt : std::optional(static_cast<std::uint64_t>(since));
-    const auto done = [this, here = std::weak_ptr(here_), weak = std::weak_ptr(on)](const list_answer &with) {
+    const auto done = [this, here = std::weak_ptr(lifetime_),
+                       weak = std::weak_ptr(on)](const list_answer &with) {
         const auto to = weak.lock();
         if (!here.expired() && to && to->open())
-            tell(to, with);
+            send_list(to, with);
     };
-    calls_[on->tag] = service_.call(revision, wait, done);
+    polls_[on->tag] = service_.call(revision, wait, done);
 }
 
 std::string list_port::entry(const experiment &of, const member_list::member &each, bool is_origin,
@@ -71,27 +73,28 @@
     return made.dump();
 }
 
-void list_port::tell(const std::shared_ptr<channel> &to, const list_answer &with) {
+void list_port::send_list(const std::shared_ptr<channel> &to, const list_answer &with) {
     if (with.refused) {
-        if (on_call)
-            on_call(list_call::refused, 0);
+        if (on_poll)
+            on_poll(list_poll::rejected, 0);
         return to->send(text_answer(503, "Retry-After: " + std::to_string(with.come_back) + "\r\n", {}));
     }
     std::string text = "{\"revision\":" + std::to_string(with.revision) +
                        ",\"complete\":" + (with.whole ? "true" : "false") + ",\"members\":[";
     for (const auto &each : with.members)
-        text += (text.back() == '[' ? "" : ",") +
-                entry(given_, each, each.server + 1 == list_.all().size(), where_(proxy_, each.server));
+        text +=
+            (text.back() == '[' ? "" : ",") + entry(experiment_, each, each.server + 1 == list_.all().size(),
+                                                    server_address_(proxy_, each.server));
     text = text_answer(200, {}, text + "]}");
-    if (on_call)
-        on_call(with.whole ? list_call::whole : list_call::watch, text.size());
+    if (on_poll)
+        on_poll(with.whole ? list_poll::snapshot : list_poll::watch, text.size());
     // Told is what is written: taken down first, so that nothing is forgotten if this process ends now.
     if (with.whole)
         for (const auto &each : list_.all())
-            sees_.told(proxy_, each.server, each.state);
+            observer_.told(proxy_, each.server, each.state);
     else
         for (const auto &each : with.members)
-            sees_.told(proxy_, each.server, each.state);
+            observer_.told(proxy_, each.server, each.state);
     to->send(text);
 }
 
--- a/src/testbed/processes/process.cpp
+++ b/src/testbed/processes/process.cpp
@@ -37,7 +37,7 @@
             const std::lock_guard hold(lock_);
             over_ = true;
         }
-        news_.notify_one();
+        work_available_.notify_one();
         thread_.join();
     }
     std::future<pid_t> run(std::function<pid_t()> what) {
@@ -47,7 +47,7 @@
             const std::lock_guard hold(lock_);
             tasks_.push_back(std::move(task));
         }
-        news_.notify_one();
+        work_available_.notify_one();
         return made;
     }
 
@@ -55,7 +55,7 @@
     void work() {
         std::unique_lock hold(lock_);
         for (;;) {
-            news_.wait(hold, [this] { return over_ || !tasks_.empty(); });
+            work_available_.wait(hold, [this] { return over_ || !tasks_.empty(); });
             if (tasks_.empty())
                 return;
             {
@@ -68,7 +68,7 @@
         }
     }
     std::mutex lock_;
-    std::condition_variable news_;
+    std::condition_variable work_available_;
     std::deque<std::packaged_task<pid_t()>> tasks_;
     bool over_ = false;
     std::thread thread_;
@@ -81,7 +81,7 @@
 
 } // namespace
 
-std::optional<process_weight> weigh(pid_t pid) {
+std::optional<process_usage> measure_usage(pid_t pid) {
     const std::string at = "/proc/" + std::to_string(pid);
     std::ifstream stat(at + "/stat"), status(at + "/status");
     std::string all;
@@ -89,7 +89,7 @@
         return std::nullopt;
     std::istringstream words(all.substr(all.rfind(')') + 2)); // the name may hold anything
     std::string word;
-    process_weight made;
+    process_usage made;
     for (int i = 0; i < 13 && words >> word; ++i)
         if (i == 11 || i == 12) // user and system time, in ticks
             made.cpu += std::stod(word) / static_cast<double>(sysconf(_SC_CLK_TCK));
--- a/src/testbed/processes/process.hpp
+++ b/src/testbed/processes/process.hpp
@@ -15,14 +15,14 @@
 
 namespace harrierpass::testbed {
 
-struct process_weight {
+struct process_usage {
     double cpu = 0;                // s of CPU since its start
     std::uint64_t resident_kb = 0; // now
     std::uint64_t descriptors = 0;
 };
 
 // Of any process of this user's; empty where it is gone.
-std::optional<process_weight> weigh(pid_t pid);
+std::optional<process_usage> measure_usage(pid_t pid);
 
 class child_process {
 public:
--- a/src/testbed/processes/server_port.cpp
+++ b/src/testbed/processes/server_port.cpp
@@ -14,8 +14,8 @@
 namespace harrierpass::testbed {
 namespace {
 
-constexpr double tidy_period = 0.5;   // s between looks for idle connections
-constexpr std::size_t plug_count = 4; // connections that fill a backlog of nothing
+constexpr double idle_check_period = 0.5;       // s between looks for idle connections
+constexpr std::size_t backlog_filler_count = 4; // connections that fill a backlog of nothing
 
 } // namespace
 
@@ -25,13 +25,13 @@
     at_ = local_address(listening_);
     listening_.close();
     if (number_ < fleet_.size()) {
-        life_ = fleet_.at(number_).life();
-        fleet_.at(number_).on_change = [this] { follow(); };
+        incarnation_ = fleet_.at(number_).life();
+        fleet_.at(number_).on_change = [this] { update_from_model(); };
     }
-    follow();
-    loop_.clock.after(tidy_period, [this, here = std::weak_ptr(here_)] {
+    update_from_model();
+    loop_.clock.after(idle_check_period, [this, here = std::weak_ptr(lifetime_)] {
         if (!here.expired())
-            tidy();
+            close_idle_connections();
     });
 }
 
@@ -47,54 +47,54 @@
     loop_.watch(listening_.get(), EPOLLIN, [this](std::uint32_t) { accept(); });
 }
 
-void server_port::follow() {
+void server_port::update_from_model() {
     const bool is_server = number_ < fleet_.size();
     const bool up = !is_server || fleet_.at(number_).up();
     const bool silent = is_server && fleet_.at(number_).silent();
-    if (is_server && (life_ != fleet_.at(number_).life() || !up) && !silent) {
-        life_ = fleet_.at(number_).life();
+    if (is_server && (incarnation_ != fleet_.at(number_).life() || !up) && !silent) {
+        incarnation_ = fleet_.at(number_).life();
         const auto all = std::move(open_);
         open_.clear();
         for (const auto &[tag, each] : all) {
-            over(tag);
+            on_attempt_over(tag);
             each->end(true);
             connection(false);
         }
     }
     if (!up && !silent && listening_) {
-        plug(false);
+        set_backlog_full(false);
         loop_.forget(listening_.get());
         listening_.close();
     }
     if (up && !listening_)
         listen();
     if (listening_)
-        plug(silent);
+        set_backlog_full(silent);
     std::vector<std::shared_ptr<channel>> all; // one that was closed meanwhile leaves open_
     for (const auto &[tag, each] : open_)
         all.push_back(each);
     for (const auto &each : all)
-        each->stand(silent);
+        each->set_frozen(silent);
 }
 
 // A machine that is gone accepts nothing and refuses nothing: with its backlog full, the system here drops
 // what would connect.
-void server_port::plug(bool begins) {
-    if (begins == !plugs_.empty())
+void server_port::set_backlog_full(bool begins) {
+    if (begins == !backlog_fillers_.empty())
         return;
     if (!begins) {
-        plugs_.clear();
+        backlog_fillers_.clear();
         ::listen(listening_.get(), 128);
         return;
     }
     loop_.change(listening_.get(), 0);
     ::listen(listening_.get(), 0);
-    for (std::size_t i = 0; i < plug_count; ++i)
-        plugs_.push_back(dial_soon(at_));
+    for (std::size_t i = 0; i < backlog_filler_count; ++i)
+        backlog_fillers_.push_back(start_connecting(at_));
 }
 
 void server_port::accept() {
-    if (!plugs_.empty())
+    if (!backlog_fillers_.empty())
         return;
     loop_.change(listening_.get(), EPOLLIN);
     address peer;
@@ -103,13 +103,13 @@
             std::make_shared<channel>(loop_, std::move(one), http_reader::message_kind::request);
         made->tag = next_++;
         made->used = loop_.clock.now();
-        made->on_message = [this](const auto &on, const http_reader &asked) { message(on, asked); };
+        made->on_message = [this](const auto &on, const http_reader &request) { message(on, request); };
         made->on_end = [this](const auto &on, channel::ending) {
-            over(on->tag);
+            on_attempt_over(on->tag);
             if (open_.erase(on->tag) > 0)
                 connection(false);
         };
-        made->on_gone = [this](const auto &on) { over(on->tag); };
+        made->on_peer_closed_while_frozen = [this](const auto &on) { on_attempt_over(on->tag); };
         open_[made->tag] = made;
         connection(true);
         made->start(false);
@@ -123,15 +123,15 @@
         on_connection(number_, begins);
 }
 
-void server_port::over(std::uint64_t tag) {
-    if (const auto found = in_hand_.find(tag); found != in_hand_.end()) {
+void server_port::on_attempt_over(std::uint64_t tag) {
+    if (const auto found = in_flight_.find(tag); found != in_flight_.end()) {
         fleet_.judge.over(found->second.op, found->second.attempt, number_);
-        in_hand_.erase(found);
+        in_flight_.erase(found);
     }
 }
 
-void server_port::message(const std::shared_ptr<channel> &on, const http_reader &asked) {
-    const auto &head = asked.head();
+void server_port::message(const std::shared_ptr<channel> &on, const http_reader &request) {
+    const auto &head = request.head();
     on->used = loop_.clock.now();
     if (head.target == "/ping") {
         if (number_ < fleet_.size() && !fleet_.at(number_).answers_probes())
@@ -160,8 +160,8 @@
         what.key = ring_hash(key);
     fleet_.judge.meet(what.op, what.attempt, what.use_case);
     fleet_.judge.received(what.op, what.attempt, number_, loop_.clock.now());
-    in_hand_[on->tag] = {what.op, what.attempt};
-    const auto done = [this, here = std::weak_ptr(here_), weak = std::weak_ptr(on), key, id,
+    in_flight_[on->tag] = {what.op, what.attempt};
+    const auto done = [this, here = std::weak_ptr(lifetime_), weak = std::weak_ptr(on), key, id,
                        write = what.write](const result &with) {
         const auto still = weak.lock();
         if (!here.expired() && still && still->open())
@@ -182,7 +182,7 @@
         "\x01\x02\x03 garble\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: -7\r\n\r\nxyz",
         "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxyz"};
     on->used = loop_.clock.now();
-    over(on->tag);
+    on_attempt_over(on->tag);
     const std::string_view note = notes[static_cast<std::size_t>(with.says)];
     switch (with.is) {
     case result::kind::completed:
@@ -198,15 +198,15 @@
     case result::kind::missed:
         return on->send(text_answer(404, note, {}));
     case result::kind::spoilt:
-        return on->send(noise[spoilt_++ % noise.size()]);
+        return on->send(noise[malformed_responses_++ % noise.size()]);
     }
 }
 
-void server_port::tidy() {
+void server_port::close_idle_connections() {
     std::vector<std::shared_ptr<channel>> idle;
     const bool silent = number_ < fleet_.size() && fleet_.at(number_).silent();
     for (const auto &[tag, each] : open_)
-        if (!silent && !in_hand_.contains(tag) && !each->heard() &&
+        if (!silent && !in_flight_.contains(tag) && !each->has_partial_message() &&
             each->used + fleet_.given.fleet.idle < loop_.clock.now())
             idle.push_back(each);
     for (const auto &each : idle) {
@@ -214,9 +214,9 @@
         if (open_.erase(each->tag) > 0)
             connection(false);
     }
-    loop_.clock.after(tidy_period, [this, here = std::weak_ptr(here_)] {
+    loop_.clock.after(idle_check_period, [this, here = std::weak_ptr(lifetime_)] {
         if (!here.expired())
-            tidy();
+            close_idle_connections();
     });
 }
 
--- a/src/testbed/processes/server_port.hpp
+++ b/src/testbed/processes/server_port.hpp
@@ -19,7 +19,7 @@
     server_port(const server_port &) = delete;
     server_port &operator=(const server_port &) = delete;
     std::string at() const { return to_text(at_); }
-    void follow();                                                // the model's state has changed
+    void update_from_model();                                     // the model's state has changed
     std::function<void(index server, bool begins)> on_connection; // one came, or is over
 
 private:
@@ -29,12 +29,12 @@
     };
     void listen();
     void accept();
-    void plug(bool begins);
-    void message(const std::shared_ptr<channel> &on, const http_reader &asked);
+    void set_backlog_full(bool begins);
+    void message(const std::shared_ptr<channel> &on, const http_reader &request);
     void finish(const std::shared_ptr<channel> &on, bool write, std::string_view key, std::string_view id,
                 const result &with);
-    void over(std::uint64_t tag);
-    void tidy();
+    void on_attempt_over(std::uint64_t tag);
+    void close_idle_connections();
     void connection(bool begins);
 
     loop &loop_;
@@ -42,12 +42,12 @@
     const index number_;
     tcp_socket listening_;
     address at_;
-    std::vector<tcp_socket> plugs_; // connections that nobody accepts, so that no other comes up
+    std::vector<tcp_socket> backlog_fillers_; // connections that nobody accepts, so that no other comes up
     std::unordered_map<std::uint64_t, std::shared_ptr<channel>> open_; // by tag
-    std::unordered_map<std::uint64_t, work> in_hand_;                  // by tag
-    std::uint64_t next_ = 1, life_ = 0;
-    std::uint64_t spoilt_ = 0;
-    std::shared_ptr<bool> here_ = std::make_shared<bool>(true);
+    std::unordered_map<std::uint64_t, work> in_flight_;                // by tag
+    std::uint64_t next_ = 1, incarnation_ = 0;
+    std::uint64_t malformed_responses_ = 0;
+    std::shared_ptr<bool> lifetime_ = std::make_shared<bool>(true);
 };
 
 } // namespace harrierpass::testbed
--- a/src/testbed/processes/worker_process.cpp
+++ b/src/testbed/processes/worker_process.cpp
@@ -20,24 +20,24 @@
 namespace harrierpass::testbed {
 namespace {
 
-constexpr double beat_period = 0.01; // s between a part's words that it has seen nothing else
-static_assert(std::is_trivially_copyable_v<part_message>);
+constexpr double heartbeat_period = 0.01; // s between a worker's words that it has seen nothing else
+static_assert(std::is_trivially_copyable_v<worker_message>);
 
 } // namespace
 
 // ---- The pair of sockets
 
-part_link::part_link(loop &in, tcp_socket socket, bool waits)
-    : loop_(in), socket_(std::move(socket)), waits_(waits) {
-    loop_.watch(socket_.get(), EPOLLIN, [this](std::uint32_t events) { came(events); });
+worker_connection::worker_connection(loop &in, tcp_socket socket, bool blocks)
+    : loop_(in), socket_(std::move(socket)), blocks_(blocks) {
+    loop_.watch(socket_.get(), EPOLLIN, [this](std::uint32_t events) { on_events(events); });
 }
 
-part_link::~part_link() {
+worker_connection::~worker_connection() {
     if (socket_)
         loop_.forget(socket_.get());
 }
 
-void part_link::send(const part_message &what) {
+void worker_connection::send(const worker_message &what) {
     if (!socket_)
         return;
     out_.append(reinterpret_cast<const char *>(&what), sizeof what);
@@ -49,14 +49,14 @@
         }
         if (wrote < 0 && errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR)
             return; // the other side is gone: its end is read
-        if (!waits_)
+        if (!blocks_)
             return loop_.change(socket_.get(), EPOLLIN | EPOLLOUT);
         pollfd room{socket_.get(), POLLOUT, 0};
         ::poll(&room, 1, -1);
     }
 }
 
-void part_link::came(std::uint32_t events) {
+void worker_connection::on_events(std::uint32_t events) {
     if ((events & EPOLLOUT) != 0 && !out_.empty()) {
         const auto wrote = ::send(socket_.get(), out_.data(), out_.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
         if (wrote > 0)
@@ -67,7 +67,7 @@
     drain();
 }
 
-void part_link::drain() {
+void worker_connection::drain() {
     std::array<char, 65536> part;
     while (socket_) {
         const auto got = ::recv(socket_.get(), part.data(), part.size(), MSG_DONTWAIT);
@@ -77,8 +77,8 @@
             return end();
         in_.append(part.data(), static_cast<std::size_t>(got));
         std::size_t at = 0;
-        for (; in_.size() - at >= sizeof(part_message); at += sizeof(part_message)) {
-            part_message what;
+        for (; in_.size() - at >= sizeof(worker_message); at += sizeof(worker_message)) {
+            worker_message what;
             std::memcpy(&what, in_.data() + at, sizeof what);
             if (on_message)
                 on_message(what);
@@ -87,7 +87,7 @@
     }
 }
 
-void part_link::end() {
+void worker_connection::end() {
     loop_.forget(socket_.get());
     socket_.close();
     if (on_end)
@@ -96,8 +96,8 @@
 
 // ---- The run's side
 
-part_process::part_process(loop &in, event_merge &events, std::vector<std::string> command,
-                           const std::string &log)
+worker_process::worker_process(loop &in, event_merge &events, std::vector<std::string> command,
+                               const std::string &log)
     : loop_(in), events_(events), process_(in, std::move(command), log, true), source_(events.add_source()) {
     process_.on_exit = [this] {
         link_->drain();
@@ -106,29 +106,29 @@
     };
 }
 
-void part_process::start() {
+void worker_process::start() {
     ready_ = ends_ = false;
-    early_.clear();
-    events_.returns(source_, loop_.clock.now());
+    unsent_.clear();
+    events_.reopen_source(source_, loop_.clock.now());
     process_.start();
-    link_ = std::make_unique<part_link>(loop_, process_.take_control(), false);
-    link_->on_message = [this](const part_message &what) { heard(what); };
+    link_ = std::make_unique<worker_connection>(loop_, process_.take_control(), false);
+    link_->on_message = [this](const worker_message &what) { handle_message(what); };
     // Once it is gone nothing holds the judging up, until its successor starts.
-    link_->on_end = [this] { events_.gone(source_); };
+    link_->on_end = [this] { events_.close_source(source_); };
 }
 
-void part_process::heard(const part_message &what) {
-    if (what.is == part_message::kind::event) {
+void worker_process::handle_message(const worker_message &what) {
+    if (what.is == worker_message::kind::event) {
         last_ = std::max(last_, what.event.when);
-        events_.put(source_, what.event);
+        events_.add(source_, what.event);
     }
-    if (what.is == part_message::kind::beat)
-        return events_.heard(source_, what.x);
-    if (what.is == part_message::kind::ready) {
+    if (what.is == worker_message::kind::heartbeat)
+        return events_.advance_source(source_, what.x);
+    if (what.is == worker_message::kind::ready) {
         ready_ = true;
-        for (const auto &each : early_)
+        for (const auto &each : unsent_)
             link_->send(each);
-        early_.clear();
+        unsent_.clear();
         if (on_ready)
             on_ready();
         return;
@@ -137,50 +137,50 @@
         on_message(what);
 }
 
-void part_process::send(const part_message &what) {
+void worker_process::send(const worker_message &what) {
     if (ready_ && link_)
         link_->send(what);
     else
-        early_.push_back(what);
+        unsent_.push_back(what);
 }
 
-void part_process::kill() {
+void worker_process::kill() {
     ends_ = true;
     process_.kill();
     if (link_)
         link_->drain();
     ready_ = false;
-    early_.clear();
+    unsent_.clear();
 }
 
-void part_process::stop(bool begins) {
+void worker_process::stop(bool begins) {
     process_.signal(begins ? SIGSTOP : SIGCONT);
 }
 
-void part_process::end() {
+void worker_process::end() {
     ends_ = true;
     process_.signal(SIGCONT);
     process_.signal(SIGTERM);
 }
 
-// ---- The part
+// ---- The worker
 
 namespace {
 
 using nlohmann::json;
 
-class part_here {
+class worker_program {
 public:
-    part_here(const json &setup, const experiment &given)
-        : given_(given), loop_(setup.at("offset").get<double>()),
+    worker_program(const json &setup, const experiment &given)
+        : experiment_(given), loop_(setup.at("offset").get<double>()),
           link_(loop_, tcp_socket(child_process::control_place), true),
-          sees_([this] { return loop_.exact(); },
-                [this](const seen &what) {
-                    part_message made;
-                    made.is = part_message::kind::event;
-                    made.event = what;
-                    link_.send(made);
-                }) {
+          recorder_([this] { return loop_.exact(); },
+                    [this](const observed_event &what) {
+                        worker_message made;
+                        made.is = worker_message::kind::event;
+                        made.event = what;
+                        link_.send(made);
+                    }) {
         sigset_t taken;
         sigemptyset(&taken);
         sigaddset(&taken, SIGTERM);
@@ -189,42 +189,43 @@
         signals_ = tcp_socket(signalfd(-1, &taken, SFD_CLOEXEC | SFD_NONBLOCK));
         loop_.watch(signals_.get(), EPOLLIN, [this](std::uint32_t) { over_ = true; });
         link_.on_end = [this] { over_ = true; };
-        link_.on_message = [this](const part_message &what) { heard(what); };
+        link_.on_message = [this](const worker_message &what) { handle_message(what); };
         if (setup.at("role") == "list")
-            be_list(setup, all_servers(given));
+            start_list_service(setup, all_servers(given));
         else
-            be_servers(setup);
+            start_servers(setup);
     }
 
     void run() {
-        part_message up;
-        up.is = part_message::kind::ready;
-        say(up);
-        beat();
+        worker_message up;
+        up.is = worker_message::kind::ready;
+        send(up);
+        send_heartbeat();
         loop_.run([this] { return over_; });
     }
 
 private:
-    void say(const part_message &what) { link_.send(what); }
-    void beat() {
-        part_message made;
+    void send(const worker_message &what) { link_.send(what); }
+    void send_heartbeat() {
+        worker_message made;
         made.x = loop_.clock.now();
-        say(made);
-        loop_.clock.after(beat_period, [this] { beat(); });
+        send(made);
+        loop_.clock.after(heartbeat_period, [this] { send_heartbeat(); });
     }
 
-    void be_servers(const json &setup) {
-        fleet_ = std::make_unique<fleet>(loop_.clock, given_, sees_, setup.at("seed").get<std::uint32_t>());
+    void start_servers(const json &setup) {
+        fleet_ = std::make_unique<fleet>(loop_.clock, experiment_, recorder_,
+                                         setup.at("seed").get<std::uint32_t>());
         fleet_->remote_fetch = [this](std::function<void(bool)> done) {
-            part_message made;
-            made.is = part_message::kind::fetch;
+            worker_message made;
+            made.is = worker_message::kind::fetch;
             made.number = next_;
-            fetching_[next_++] = std::move(done);
-            say(made);
+            pending_fetches_[next_++] = std::move(done);
+            send(made);
         };
         fleet_->remote_write = [this](const job &what, index server, std::function<void(bool, bool)> done) {
-            part_message made;
-            made.is = part_message::kind::write;
+            worker_message made;
+            made.is = worker_message::kind::write;
             made.number = next_;
             made.a = server;
             made.key = what.key;
@@ -232,52 +233,53 @@
             made.event.op = what.op;
             made.event.a = what.attempt;
             made.event.b = what.use_case;
-            writing_[next_++] = std::move(done);
-            say(made);
+            pending_writes_[next_++] = std::move(done);
+            send(made);
         };
         const bool cold = setup.at("cold");
         for (index i = 0; i < fleet_->size(); ++i) {
-            if (host_of(given_, i) != setup.at("host").get<index>())
+            if (host_of(experiment_, i) != setup.at("host").get<index>())
                 continue;
             auto &server = fleet_->at(i);
-            if (!cold && given_.fleet.warm && i < given_.fleet.servers)
+            if (!cold && experiment_.fleet.warm && i < experiment_.fleet.servers)
                 server.fill_popular();
             if (cold && server.up())
                 server.start_cold(loop_.clock.now());
             const auto at = parse_address(setup.at("addresses").at(i).get<std::string>());
             ports_.push_back(std::make_unique<server_port>(loop_, *fleet_, i, *at));
             ports_.back()->on_connection = [this](index which, bool begins) {
-                part_message made;
-                made.is = part_message::kind::connection;
+                worker_message made;
+                made.is = worker_message::kind::connection;
                 made.a = which;
                 made.flag = begins;
-                say(made);
+                send(made);
             };
         }
     }
 
-    void be_list(const json &setup, index servers) {
-        list_ = std::make_unique<member_list>(given_, servers);
-        service_ = std::make_unique<list_service>(loop_.clock, given_.list, *list_);
+    void start_list_service(const json &setup, index servers) {
+        list_ = std::make_unique<member_list>(experiment_, servers);
+        service_ = std::make_unique<list_service>(loop_.clock, experiment_.list, *list_);
         for (const auto &each : setup.at("addresses"))
             hosts_.push_back(each);
         hosts_.resize(servers + 1);
         for (const auto &each : setup.at("links"))
-            linked_[{each.at(0), each.at(1)}] = each.at(2);
-        where_ = [this](index proxy, index server) {
-            const auto link = linked_.find({proxy, server});
-            return link == linked_.end() ? hosts_.at(server) : link->second;
+            link_addresses_[{each.at(0), each.at(1)}] = each.at(2);
+        server_address_ = [this](index proxy, index server) {
+            const auto link = link_addresses_.find({proxy, server});
+            return link == link_addresses_.end() ? hosts_.at(server) : link->second;
         };
         index proxy = 0;
         for (const auto &each : setup.at("lists")) {
-            lists_.push_back(std::make_unique<list_port>(loop_, given_, *list_, *service_, sees_, proxy++,
-                                                         *parse_address(each.get<std::string>()), where_));
-            lists_.back()->on_call = [this](list_call as, std::size_t bytes) {
-                part_message made;
-                made.is = part_message::kind::call;
+            lists_.push_back(std::make_unique<list_port>(loop_, experiment_, *list_, *service_, recorder_,
+                                                         proxy++, *parse_address(each.get<std::string>()),
+                                                         server_address_));
+            lists_.back()->on_poll = [this](list_poll as, std::size_t bytes) {
+                worker_message made;
+                made.is = worker_message::kind::poll;
                 made.small = static_cast<std::uint8_t>(as);
                 made.number = bytes;
-                say(made);
+                send(made);
             };
         }
     }
@@ -292,64 +294,64 @@
         return made;
     }
 
-    void heard(const part_message &what) {
+    void handle_message(const worker_message &what) {
         switch (what.is) {
-        case part_message::kind::fault: {
+        case worker_message::kind::fault: {
             fault_spec fault;
             fault.kind = static_cast<fault_kind>(what.small);
             fault.factor = what.x;
             fault.use_case = what.b;
             return set_model(fleet_->at(what.a), fault, what.flag != 0);
         }
-        case part_message::kind::fetched:
-            if (const auto done = take(fetching_, what.number))
+        case worker_message::kind::fetched:
+            if (const auto done = take(pending_fetches_, what.number))
                 done(what.flag != 0);
             return;
-        case part_message::kind::written:
-            if (const auto done = take(writing_, what.number))
+        case worker_message::kind::written:
+            if (const auto done = take(pending_writes_, what.number))
                 done(what.flag != 0, what.flag2 != 0);
             return;
-        case part_message::kind::void_copy:
+        case worker_message::kind::void_copy:
             return fleet_->wrote(what.key);
-        case part_message::kind::load:
-        case part_message::kind::publish:
+        case worker_message::kind::load:
+        case worker_message::kind::publish:
             list_->load({what.a, static_cast<endpoint_state>(what.small), what.x, what.number});
-            if (what.is == part_message::kind::publish)
+            if (what.is == worker_message::kind::publish)
                 service_->changed();
             return;
-        case part_message::kind::silent:
+        case worker_message::kind::silent:
             return list_->silent(what.flag != 0);
         default:
             return;
         }
     }
 
-    const experiment &given_;
+    const experiment &experiment_;
     loop loop_;
-    part_link link_;
-    writer sees_;
+    worker_connection link_;
+    event_recorder recorder_;
     tcp_socket signals_;
     bool over_ = false;
     std::unique_ptr<fleet> fleet_;
     std::vector<std::unique_ptr<server_port>> ports_;
-    std::map<std::uint64_t, std::function<void(bool)>> fetching_;
-    std::map<std::uint64_t, std::function<void(bool, bool)>> writing_;
+    std::map<std::uint64_t, std::function<void(bool)>> pending_fetches_;
+    std::map<std::uint64_t, std::function<void(bool, bool)>> pending_writes_;
     std::uint64_t next_ = 1;
     std::unique_ptr<member_list> list_;
     std::unique_ptr<list_service> service_;
     std::vector<std::string> hosts_;
-    std::map<std::pair<index, index>, std::string> linked_;
-    server_places where_;
+    std::map<std::pair<index, index>, std::string> link_addresses_;
+    server_address_lookup server_address_;
     std::vector<std::unique_ptr<list_port>> lists_;
 };
 
 } // namespace
 
-int run_part(const std::string &path) {
+int run_worker_process(const std::string &path) {
     std::ifstream in(path);
     const json setup = json::parse(in);
     const experiment given = read_experiment(setup.at("experiment").get<std::string>());
-    part_here(setup, given).run();
+    worker_program(setup, given).run();
     return 0;
 }
 
--- a/src/testbed/program/fleet_shell.cpp
+++ b/src/testbed/program/fleet_shell.cpp
@@ -84,7 +84,7 @@
 
     loop in;
     stage all(in.clock, given, given.seeds[0], 0.05);
-    all.judge.strangers = true;
+    all.judge.allow_unknown_requests = true;
     if (how.chatty)
         all.judge.trace = &std::cout;
     const fleet_ports ports(in, all, how.where);
@@ -129,7 +129,7 @@
     std::cout << "executions " << all.judge.executions() << ", effects " << all.judge.effects()
               << ", fetches " << all.servers.source().fetches() << ", rules broken " << all.judge.broken()
               << '\n';
-    for (const auto &each : all.judge.stories())
+    for (const auto &each : all.judge.histories())
         std::cout << each;
     return all.judge.broken() > 0 ? 1 : 0;
 }
--- a/src/testbed/program/fleet_shell.hpp
+++ b/src/testbed/program/fleet_shell.hpp
@@ -10,7 +10,7 @@
 namespace harrierpass::testbed {
 
 struct shell_options {
-    fleet_places where;
+    fleet_listen_ports where;
     std::string listen, configuration; // of a proxy; where its configuration is written, if anywhere
     bool scripted = false;             // the experiment's faults are played
     bool chatty = false;               // a line for each execution that a server gets
--- a/src/testbed/program/main.cpp
+++ b/src/testbed/program/main.cpp
@@ -319,7 +319,7 @@
         if (how.sockets.program.empty())
             how.sockets.program = how.sockets.self.substr(0, how.sockets.self.rfind('/') + 1) + "harrierpass";
         if (*parts)
-            return run_part(setup);
+            return run_worker_process(setup);
         if (*soaked) {
             soaks.last = std::max(soaks.first, soaks.last);
             soaks.sockets.self = how.sockets.self;
@@ -342,7 +342,7 @@
         }
         if (*proxies)
             return breaks.empty() ? be_proxy(by, configuration)
-                                  : run_plant_proxy(plant_of(breaks), configuration);
+                                  : run_faulty_proxy(plant_of(breaks), configuration);
         if (*loads) {
             experiment given = read_experiment(file);
             given.load.rate = rate >= 0 ? rate : given.load.rate;
--- a/src/testbed/program/subset_table.cpp
+++ b/src/testbed/program/subset_table.cpp
@@ -3,7 +3,7 @@
 
 #include "subsets/coverage_report.hpp"
 #include "subsets/endpoint_ranking.hpp"
-#include "testbed/load/clients.hpp"
+#include "testbed/load/load_generator.hpp"
 #include "testbed/model/ids.hpp"
 
 #include <algorithm>
@@ -68,7 +68,7 @@
     const subsets::subset_costs prices{given.prices.handshake, given.prices.origin,
                                        given.fleet.idle * idle_reuse_share};
     const index servers = given.fleet.servers, count = given.proxies.count;
-    auto parts = parts_of_load(given);
+    auto parts = proxy_load_shares(given);
     parts.resize(count, 1);
     const double rate = how.rate >= 0 ? how.rate : given.load.rate;
     double work = 0;
--- a/src/testbed/runs/run_environment.cpp
+++ b/src/testbed/runs/run_environment.cpp
@@ -21,21 +21,22 @@
              const std::function<double()> &exact)
     : clock(with), given(of), judged_(with.now()), judge(exact ? judged_ : with, of, slack),
       events(judged_, judge), own_events(events.add_source()),
-      writes_(exact, [this](const seen &what) { events.put(own_events, what); }),
+      writes_(exact, [this](const observed_event &what) { events.add(own_events, what); }),
       sees(exact ? static_cast<witness &>(writes_) : judge), servers(with, of, sees, seed),
       list(with, of, servers.size(), seed + 1), service(with, of.list, list),
       people(with, of, sees, seed + 2), links(of, servers.size() + (of.fleet.aside ? 1 : 0), seed),
       figures(with, of, servers.size()), seed_(seed) {
-    judge.on_received = [this](index server) { figures.execution(server); };
+    judge.on_received = [this](index server) { figures.on_attempt(server); };
     people.on_settled = [this](index proxy, double served, double asked) {
-        figures.served(proxy, served, asked);
+        figures.on_request_settled(proxy, served, asked);
     };
-    links.on_change = [this](const link_id &which, const link_now &before, const link_now &now) {
-        if (before.troubled() != now.troubled())
-            sees.link_trouble(which.kind, which.near, which.far, now.troubled());
+    links.on_change = [this](const link_id &which, const link_conditions &before,
+                             const link_conditions &now) {
+        if (before.impaired() != now.impaired())
+            sees.link_trouble(which.kind, which.near, which.far, now.impaired());
         if (which.kind == link_kind::client_proxy)
             client_trouble_[which.far] =
-                now.troubled() ? std::numeric_limits<double>::infinity() : clock.now() + heal_time;
+                now.impaired() ? std::numeric_limits<double>::infinity() : clock.now() + heal_time;
         if (on_link)
             on_link(which, before, now);
     };
@@ -51,7 +52,7 @@
 }
 
 void stage::start() {
-    figures.begin();
+    figures.on_load_started();
     start_faults();
     people.start();
     sample();
@@ -223,8 +224,8 @@
         clock.after(flap_period, [this, &fault, server, until] { flap(fault, server, until); });
 }
 
-void take_totals(run_result &to, const clients &of) {
-    const slot &all = of.total();
+void take_totals(run_result &to, const load_generator &of) {
+    const load_counts &all = of.total();
     to.service = all.asked > 0 ? all.served / all.asked : 0;
     to.queries = all.queries;
     to.completed = all.completed;
@@ -238,7 +239,7 @@
     to.p99 = all.times.percentile(99);
     to.p999 = all.times.percentile(99.9);
     to.lateness_p99 = of.lateness().percentile(99);
-    to.lateness_most = of.lateness().most();
+    to.max_lateness = of.lateness().most();
 }
 
 run_result stage::result(const variant_spec &of, const char *mode) const {
@@ -255,8 +256,10 @@
     made.trace = judge.trace_hash();
     for (std::size_t i = 0; i < static_cast<std::size_t>(rule::total); ++i)
         made.rules.emplace_back(name_of(static_cast<rule>(i)), judge.broken(static_cast<rule>(i)));
-    made.stories = judge.stories();
-    const auto share = [](const slot &part) { return part.asked > 0 ? part.served / part.asked : 1.0; };
+    made.histories = judge.histories();
+    const auto share = [](const load_counts &part) {
+        return part.asked > 0 ? part.served / part.asked : 1.0;
+    };
     for (std::size_t i = 0; i < given.use_cases.size(); ++i)
         made.use_cases.emplace_back(given.use_cases[i].name, share(people.use_cases()[i]));
     for (std::size_t i = 0; i < given.tenants.size(); ++i)
@@ -279,7 +282,7 @@
         auto mean = each;
         for (std::size_t i = 0; i < mean.size(); ++i)
             mean[i] /= std::max(1.0, samples_[i]);
-        made.in_hand.push_back(std::move(mean));
+        made.in_flight.push_back(std::move(mean));
     }
     return made;
 }
--- a/src/testbed/runs/run_environment.hpp
+++ b/src/testbed/runs/run_environment.hpp
@@ -1,17 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
-// All of a run but the proxies and the way to them: servers, origin, list, clients, referee, and the script
-// of faults. A link makes it whole: in virtual time, or on sockets.
+// All of a run but the proxies and the way to them: servers, origin, list, clients, rule checker, and the
+// script of faults. A link makes it whole: in virtual time, or on sockets.
 #pragma once
 
 #include "testbed/links/conditions.hpp"
-#include "testbed/load/clients.hpp"
+#include "testbed/load/load_generator.hpp"
 #include "testbed/model/list_service.hpp"
 #include "testbed/model/membership.hpp"
 #include "testbed/model/servers.hpp"
-#include "testbed/verification/merge.hpp"
+#include "testbed/verification/event_merge.hpp"
+#include "testbed/verification/fleet_metrics.hpp"
 #include "testbed/verification/result.hpp"
 #include "testbed/verification/rule_checker.hpp"
-#include "testbed/verification/run_metrics.hpp"
 
 #include <optional>
 #include <ostream>
@@ -19,7 +19,7 @@
 namespace harrierpass::testbed {
 
 // What the clients saw in all, into a result.
-void take_totals(run_result &to, const clients &of);
+void take_totals(run_result &to, const load_generator &of);
 
 class stage {
 public:
@@ -42,8 +42,8 @@
     std::function<void(const fault_spec &fault, index server, bool begins)> on_model;
     std::function<void(index host, fault_kind kind, bool begins)> on_host;
     std::function<void(bool begins)> on_list_kill, on_list_stop;
-    // Its state is the table's; the referee has been told.
-    std::function<void(const link_id &, const link_now &before, const link_now &now)> on_link;
+    // Its state is the table's; the rule checker has been told.
+    std::function<void(const link_id &, const link_conditions &before, const link_conditions &now)> on_link;
 
     // Whether the clients' link to a proxy was in trouble at some time since.
     bool client_link_troubled(index proxy, double since) const;
@@ -56,21 +56,21 @@
     timeline judged_; // the judge's own time, where events are merged
 
 public:
-    referee judge;
+    rule_checker judge;
     event_merge events;
     std::size_t own_events = 0; // the source that this process is
 
 private:
-    writer writes_;
+    event_recorder writes_;
 
 public:
     witness &sees; // what this process sees goes there
     fleet servers;
     membership list;
     list_service service;
-    clients people;
+    load_generator people;
     link_table links;
-    fleet_figures figures;
+    fleet_metrics figures;
 
 private:
     bool stands_on(const fault_spec &fault, index server) const;
--- a/src/testbed/runs/socket_run.cpp
+++ b/src/testbed/runs/socket_run.cpp
@@ -4,7 +4,7 @@
 #include "net/threads.hpp"
 #include "proxy/operations/stop_schedule.hpp"
 #include "proxy/service.hpp"
-#include "testbed/load/client_port.hpp"
+#include "testbed/load/client_connections.hpp"
 #include "testbed/processes/fleet_ports.hpp"
 #include "testbed/processes/process.hpp"
 #include "testbed/runs/baseline_policies.hpp"
@@ -100,7 +100,7 @@
         const double began = steady_now();
         all_.on_proxy_kill = [this](index proxy, bool begins) { kill(proxy, begins); };
         all_.on_proxy_pause = [this](index proxy, bool begins) { pause(proxy, begins); };
-        port_.troubled = [this](index proxy, double since) {
+        port_.link_impaired_since = [this](index proxy, double since) {
             return all_.client_link_troubled(proxy, since);
         };
         all_.on_proxy_signals = [this](index proxy) { send_signals(proxy); };
@@ -156,15 +156,15 @@
         fleet_.end();
         const double patience = loop_.clock.now() + end_limit;
         loop_.run([&] { return fleet_.ended() || loop_.clock.now() > patience; });
-        all_.events.gone(all_.own_events);
-        all_.events.judge();
+        all_.events.close_source(all_.own_events);
+        all_.events.deliver_ready();
         all_.judge.finish();
         run_result made = all_.result(as_, "sockets");
         if (!done)
             made.void_because = "queries were still open long after the load";
         made.rules.emplace_back("crashed", crashes_ + fleet_.deaths());
         made.rules.emplace_back("invariants", violations_.size());
-        made.stories.insert(made.stories.end(), violations_.begin(), violations_.end());
+        made.histories.insert(made.histories.end(), violations_.begin(), violations_.end());
         made.fleet.emplace_back("stops", stops_);
         made.fleet.emplace_back("stops_killed", stops_killed_);
         const auto count = std::max<std::uint64_t>(1, made.queries);
@@ -182,7 +182,7 @@
         made.proxies = {
             {"cpu_ns_a_query", static_cast<std::uint64_t>(cpu * 1e9 / static_cast<double>(count))},
             {"resident_kb", resident},
-            {"client_dials", port_.dials()}};
+            {"client_dials", port_.connects()}};
         // What nobody but a proxy sees, from the counters of those that ran to the end.
         for (const auto &[name, as] :
              {std::pair("server_dials_failed", "dials_failed"), std::pair("probes_sent", "probes"),
@@ -194,10 +194,10 @@
         made.fleet.emplace_back("proxy_cpu_s_most", cpus.empty() ? 0 : cpus.back());
         made.fleet.emplace_back("proxy_mb_most", static_cast<double>(resident) / 1024);
         if (const auto *const between = fleet_.datagrams()) {
-            made.fleet.emplace_back("datagrams_a_query",
-                                    static_cast<double>(between->seen().sent) / static_cast<double>(count));
-            made.fleet.emplace_back("datagram_bytes_a_query",
-                                    static_cast<double>(between->seen().bytes) / static_cast<double>(count));
+            made.fleet.emplace_back("datagrams_a_query", static_cast<double>(between->counters().sent) /
+                                                             static_cast<double>(count));
+            made.fleet.emplace_back("datagram_bytes_a_query", static_cast<double>(between->counters().bytes) /
+                                                                  static_cast<double>(count));
         }
         made.wall = steady_now() - began;
         judge_lateness(made, given_);
@@ -230,7 +230,7 @@
             each.ends = true;
             if (!each.process || !each.process->runs())
                 continue;
-            if (const auto weight = weigh(each.process->pid()))
+            if (const auto weight = measure_usage(each.process->pid()))
                 each.resident_kb = weight->resident_kb;
             each.process->signal(SIGCONT);
             each.process->signal(SIGUSR1); // its counters
@@ -300,7 +300,7 @@
                 }
                 crashes_ += left.leaves ? 0 : 1; // by itself
                 all_.sees.restarted(number, !left.leaves);
-                port_.place(number, std::nullopt);
+                port_.set_proxy_address(number, std::nullopt);
                 if (left.leaves && left.again >= 0)
                     loop_.clock.after(left.again, [this, number] {
                         if (!proxies_[number].ends && proxies_[number].killed == 0)
@@ -317,7 +317,7 @@
         if (!here.at || here.killed > 0)
             return;
         const auto on =
-            std::make_shared<channel>(loop_, dial_soon(*here.at), http_reader::message_kind::response);
+            std::make_shared<channel>(loop_, start_connecting(*here.at), http_reader::message_kind::response);
         looks_[number] = on;
         if (!on->open())
             return;
@@ -337,7 +337,7 @@
         if (!ready)
             return loop_.clock.after(look_again, [this, number] { look(number); });
         here.ready = true;
-        port_.place(number, fleet_.proxy_at(number, *here.at));
+        port_.set_proxy_address(number, fleet_.proxy_at(number, *here.at));
     }
 
     // Told to end: clients go on using what they have, and for a moment go on coming.
@@ -366,7 +366,7 @@
         });
         loop_.clock.after(still_come, [this, number] {
             if (proxies_[number].leaves)
-                port_.avoid(number);
+                port_.stop_connecting_to(number);
         });
     }
 
@@ -402,7 +402,7 @@
         if (!here.at || !here.ready || here.leaves)
             return again();
         const auto on =
-            std::make_shared<channel>(loop_, dial_soon(*here.at), http_reader::message_kind::response);
+            std::make_shared<channel>(loop_, start_connecting(*here.at), http_reader::message_kind::response);
         idle_[{number, which}] = on;
         if (!on->open())
             return again();
@@ -421,7 +421,7 @@
             here.ready = false;
             all_.sees.restarted(number, true);
             here.process->signal(SIGKILL); // its end is seen in the loop, as hundreds may die at once
-            port_.place(number, std::nullopt);
+            port_.set_proxy_address(number, std::nullopt);
         } else if (!begins && --here.killed == 0 && !here.ends) { // none is started once all were told to end
             if (here.process->runs())
                 here.reborn = true;
@@ -446,7 +446,7 @@
     run_folder folder_; // the processes' own, which are gone before it
     stage all_;
     fleet_ports fleet_;
-    client_port port_;
+    client_connections port_;
     chance seeds_;
     std::map<std::string, double> counted_; // by the proxies, in all
     std::uint64_t crashes_ = 0;
@@ -476,19 +476,19 @@
     asked.proxies.count = static_cast<index>(how.to.size());
     asked.faults.clear();
     loop in;
-    referee judge(in.clock, asked, slack);
-    clients people(in.clock, asked, judge, how.seed);
-    client_port port(in, asked, people, judge, asked.proxies.count);
+    rule_checker judge(in.clock, asked, slack);
+    load_generator people(in.clock, asked, judge, how.seed);
+    client_connections port(in, asked, people, judge, asked.proxies.count);
     std::vector<std::shared_ptr<channel>> resting;
     for (index i = 0; i < how.to.size(); ++i) {
         const auto at = parse_address(how.to[i]);
         if (!at)
             throw bad_experiment(how.to[i] + " is no address such as 127.0.0.1:9000");
-        port.place(i, at);
+        port.set_proxy_address(i, at);
         std::size_t heard = 0;
         for (index j = 0; j < how.idle; ++j) {
             const auto on =
-                std::make_shared<channel>(in, dial_soon(*at), http_reader::message_kind::response);
+                std::make_shared<channel>(in, start_connecting(*at), http_reader::message_kind::response);
             if (!on->open())
                 throw bad_experiment("no descriptors for so many connections at rest");
             on->on_message = [&heard](const auto &, const http_reader &) { ++heard; };
@@ -501,14 +501,14 @@
         const double limit = in.clock.now() + 10;
         in.run([&] { return heard >= how.idle || in.clock.now() > limit; });
     }
-    const auto before = how.pid > 0 ? weigh(how.pid) : std::nullopt;
+    const auto before = how.pid > 0 ? measure_usage(how.pid) : std::nullopt;
     const double cpu = own_cpu(), began = steady_now();
     people.start();
-    std::optional<process_weight> after;
+    std::optional<process_usage> after;
     const double end = in.clock.now() + asked.length + wind_down;
     in.run([&] {
         if (people.over() && !after && how.pid > 0)
-            after = weigh(how.pid);
+            after = measure_usage(how.pid);
         return people.idle() || in.clock.now() > end;
     });
     load_result made;
@@ -523,7 +523,7 @@
     run.wall = steady_now() - began;
     for (const rule each : {rule::lost, rule::answered_twice, rule::wrong_body})
         run.rules.emplace_back(name_of(each), judge.broken(each));
-    run.stories = judge.stories();
+    run.histories = judge.histories();
     whole_run::judge_lateness(run, asked);
     if (run.completed == 0 && run.void_because.empty())
         run.void_because = "no query was completed: is anybody there?";
--- a/src/testbed/runs/virtual_proxy.cpp
+++ b/src/testbed/runs/virtual_proxy.cpp
@@ -104,14 +104,14 @@
             cut = one.cut;
             return true;
         }
-        figures_.closed(server);
+        figures_.on_connection_closed(server);
     }
     return false;
 }
 
 void virtual_proxy::close_connections(index server) {
     for (std::size_t i = 0; i < idle_[server].size(); ++i)
-        figures_.closed(server);
+        figures_.on_connection_closed(server);
     idle_[server].clear();
 }
 
@@ -120,7 +120,7 @@
         std::erase_if(idle_[i], [&](const connection &each) {
             const bool old = clock_.now() - each.used > given_.fleet.idle * idle_reuse_share;
             if (old)
-                figures_.closed(i);
+                figures_.on_connection_closed(i);
             return old;
         });
     clock_.after(sweep_period, [this, life = life_] {
@@ -129,7 +129,7 @@
     });
 }
 
-void virtual_proxy::link_changed(index server, const link_now &before, const link_now &now) {
+void virtual_proxy::link_changed(index server, const link_conditions &before, const link_conditions &now) {
     if (!up())
         return;
     const bool breaks = now.resets && !before.resets;
@@ -141,7 +141,7 @@
     if (heals)
         std::erase_if(idle_[server], [&](const connection &each) {
             if (each.cut)
-                figures_.closed(server);
+                figures_.on_connection_closed(server);
             return each.cut;
         });
     for (index i = 0; i < held_.size(); ++i) {
@@ -215,7 +215,7 @@
     return as_.breaks == which && ++plants_ % every == 0;
 }
 
-void virtual_proxy::take(const asking &query) {
+void virtual_proxy::take(const client_request &query) {
     event([this, query] {
         if (!up())
             return;
@@ -357,7 +357,7 @@
         if (of.connected && keeps && !of.cut)
             idle_[of.out_at].push_back({clock_.now(), of.life, false});
         else if (of.connected)
-            figures_.closed(of.out_at);
+            figures_.on_connection_closed(of.out_at);
     }
     of.connected = of.cut = false;
     of.out_at = none;
@@ -410,7 +410,7 @@
     };
     const auto back = [this, on, there, heard, waits](outcome result, bool fetched) {
         links_.carry(
-            on, direction::back, there, static_cast<std::size_t>(answer_bytes),
+            on, direction::backward, there, static_cast<std::size_t>(answer_bytes),
             [heard, result, fetched] { heard(result, fetched); }, waits);
     };
     const auto answered = [back](const result &with) {
@@ -431,16 +431,16 @@
     const bool dead = is_server && (servers_.at(server).silent() || !servers_.at(server).up());
     double handshake = 0;
     if (dead && !planted)
-        figures_.sent_to_dead(false);
+        figures_.on_sent_to_dead(false);
     if (!planted && !take_connection(server, held_[query].cut)) {
-        figures_.dialled(server, !dead);
-        if (links_.now(on).resets) // up, and broken at once
+        figures_.on_connect(server, !dead);
+        if (links_.conditions(on).resets) // up, and broken at once
             return failed(2 * there);
-        if ((is_server && servers_.at(server).silent()) || !links_.comes_up(on)) // never comes up
+        if ((is_server && servers_.at(server).silent()) || !links_.can_connect(on)) // never comes up
             return failed(given_.network.dial_limit);
         if (dead)
             return failed(2 * there);
-        figures_.opened(server);
+        figures_.on_connection_opened(server);
         if (given_.fleet.dial_work > 0) {
             handshake = 2 * there;
             if (is_server)
@@ -453,7 +453,7 @@
     if (!planted && held_[query].cut)
         return; // nobody hears it
     links_.carry(
-        on, direction::there, there + handshake, static_cast<std::size_t>(answer_bytes),
+        on, direction::forward, there + handshake, static_cast<std::size_t>(answer_bytes),
         [this, server, what, sent, planted, answered, heard, waits, there] {
             const bool at_origin = server == servers_.size();
             if (!at_origin && (servers_.at(server).silent() || !servers_.at(server).up())) {
@@ -509,7 +509,7 @@
         reach(query, server, number, serial, clock_.now(), true);
     }
     if (completed && planted(plant::late, plant_every)) {
-        const asking is = of.is;
+        const client_request is = of.is;
         clock_.at(is.end + 0.5, [this, is, server] {
             judge_.received(is.op, is.attempt, server, clock_.now());
             judge_.over(is.op, is.attempt, server);
@@ -577,10 +577,10 @@
     if (server >= servers_.size())
         return clock_.after(2 * way(server), [over] { over(true); });
     const auto &to = servers_.at(server);
-    const bool answered = to.answers_probes() && links_.comes_up(to_server(server));
+    const bool answered = to.answers_probes() && links_.can_connect(to_server(server));
     if (to.silent() || !to.up())
-        figures_.sent_to_dead(true);
-    figures_.dialled(server, !to.silent() && to.up()); // a probe's connection is always new
+        figures_.on_sent_to_dead(true);
+    figures_.on_connect(server, !to.silent() && to.up()); // a probe's connection is always new
     clock_.after(answered || !to.up() ? 2 * way(server) : probe_limit, [over, answered] { over(answered); });
 }
 
@@ -629,7 +629,7 @@
     clock_.after(wait, [this, life = life_] {
         if (life != life_ || !up())
             return;
-        if (!list_.answers() || !links_.comes_up(to_list()) || chance_.happens(given_.list.lose))
+        if (!list_.answers() || !links_.can_connect(to_list()) || chance_.happens(given_.list.lose))
             return clock_.after(list_limit, [this, life] {
                 if (life == life_)
                     event([this, life] {
@@ -645,8 +645,8 @@
             for (const auto &each : list_.all())
                 if (each.state != endpoint_state::removed)
                     all.push_back(each);
-            figures_.called(
-                list_call::whole,
+            figures_.on_poll(
+                list_poll::snapshot,
                 static_cast<std::size_t>(answer_bytes + entry_bytes * static_cast<double>(all.size())));
             tell(endpoint_update_kind::snapshot, all);
         });
@@ -659,10 +659,10 @@
     const std::uint64_t call = ++list_call_;
     list_out_ = true;
     discovery::endpoint_poll out;
-    const bool comes_up = links_.comes_up(to_list());
+    const bool can_connect = links_.can_connect(to_list());
     if (calls_) {
         out = calls_->start_poll(clock_.now());
-        out.timeout = comes_up ? out.timeout : calls_->intervals().response_timeout;
+        out.timeout = can_connect ? out.timeout : calls_->intervals().response_timeout;
     } else {
         out.watch_timeout = revision_ > 0 ? watch_wait : 0;
         out.timeout = list_patience(given_.list) + out.watch_timeout;
@@ -676,7 +676,7 @@
                     list_lost(call);
             });
     });
-    if (!comes_up)
+    if (!can_connect)
         return;
     if (!service_.up())
         return clock_.after(2 * given_.network.one_way, [this, life = life_, call] {
@@ -690,12 +690,12 @@
     const auto answer = [this, life = life_, call, stands](const list_answer &with) {
         const auto bytes =
             static_cast<std::size_t>(answer_bytes + entry_bytes * static_cast<double>(with.members.size()));
-        figures_.called(with.refused ? list_call::refused
-                        : with.whole ? list_call::whole
-                                     : list_call::watch,
-                        bytes);
+        figures_.on_poll(with.refused ? list_poll::rejected
+                         : with.whole ? list_poll::snapshot
+                                      : list_poll::watch,
+                         bytes);
         links_.carry(
-            to_list(), direction::back, given_.network.one_way, bytes,
+            to_list(), direction::backward, given_.network.one_way, bytes,
             [this, life, call, with] {
                 if (life == life_)
                     event([this, life, call, with] {
@@ -706,7 +706,7 @@
             stands);
     };
     links_.carry(
-        to_list(), direction::there, given_.network.one_way, static_cast<std::size_t>(answer_bytes),
+        to_list(), direction::forward, given_.network.one_way, static_cast<std::size_t>(answer_bytes),
         [this, stands, out, answer] {
             if (stands())
                 list_token_ = service_.call(out.watch_revision, out.watch_timeout, answer);
@@ -759,7 +759,7 @@
 void virtual_proxy::changed(const membership::member &what) {
     if (!up() || !watching_)
         return;
-    if (!list_.answers() || !links_.comes_up(to_list()) || chance_.happens(given_.list.lose)) {
+    if (!list_.answers() || !links_.can_connect(to_list()) || chance_.happens(given_.list.lose)) {
         watching_ = false;
         clock_.after(list_limit, [this, life = life_] {
             if (life == life_)
--- a/src/testbed/runs/virtual_proxy.hpp
+++ b/src/testbed/runs/virtual_proxy.hpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 // A proxy in virtual time: the real decision module behind its interface, and a front that does what the one
 // on sockets does, with the network's times instead of sockets. A switch plants faults in this front, never
-// in the module, so that the referee can be shown to see them.
+// in the module, so that the rule checker can be shown to see them.
 #pragma once
 
 #include "discovery/poll_schedule.hpp"
@@ -25,10 +25,10 @@
     virtual_proxy(stage &all, virtual_links &links, const variant_spec &as, index number, std::uint32_t seed);
 
     // A client's try has come whole, or its client has gone.
-    void take(const asking &query);
+    void take(const client_request &query);
     void leave(operation op, index attempt);
     // A client's answer, as the network will bring it.
-    std::function<void(const asking &, reply, double come_back, bool body_fits)> on_answer;
+    std::function<void(const client_request &, reply, double come_back, bool body_fits)> on_answer;
 
     void kill(bool planned = false); // outright, or at a planned end; start() begins it anew
     // Told to end: takes no more, answers what it holds (3 s at most), and is gone then.
@@ -44,8 +44,9 @@
     void changed(const membership::member &what); // the list's, published
     // A server's process died, or its machine: connections to it break.
     void broken(index server);
-    void link_changed(index server, const link_now &before, const link_now &now); // of its link to a server
-    void list_broken(); // the list service died: the call that is out breaks
+    void link_changed(index server, const link_conditions &before,
+                      const link_conditions &now); // of its link to a server
+    void list_broken();                            // the list service died: the call that is out breaks
 
 private:
     struct connection {
@@ -54,7 +55,7 @@
         bool cut = false;       // half open: the far end is dead
     };
     struct held {
-        asking is;
+        client_request is;
         bool live = false, answered = false, gone = false;
         index sent = 0;           // executions
         index out_at = none;      // server of the one that is out
@@ -98,8 +99,8 @@
     fleet &servers_;
     membership &list_;
     list_service &service_;
-    referee &judge_;
-    fleet_figures &figures_;
+    rule_checker &judge_;
+    fleet_metrics &figures_;
     virtual_links &links_;
     chance chance_;
     std::vector<std::vector<connection>> idle_; // by server
--- a/src/testbed/runs/virtual_run.cpp
+++ b/src/testbed/runs/virtual_run.cpp
@@ -29,16 +29,16 @@
     virtual_links links(clock, all.links, seed + 4);
     for (index i = 0; i < given.proxies.count; ++i) {
         proxies.emplace_back(all, links, as, i, seeds.seed());
-        proxies.back().on_answer = [&, i](const asking &of, reply with, double come_back, bool fits) {
-            links.carry({link_kind::client_proxy, 0, i}, direction::back, given.network.one_way, answer_size,
-                        [&all, op = of.op, attempt = of.attempt, with, come_back, fits] {
+        proxies.back().on_answer = [&, i](const client_request &of, reply with, double come_back, bool fits) {
+            links.carry({link_kind::client_proxy, 0, i}, direction::backward, given.network.one_way,
+                        answer_size, [&all, op = of.op, attempt = of.attempt, with, come_back, fits] {
                             all.people.answered(op, attempt, with, come_back, fits);
                         });
         };
     }
-    all.people.there = [&](index proxy) { return proxies[proxy].takes(); };
-    all.people.send = [&](const asking &query) {
-        links.carry({link_kind::client_proxy, 0, query.proxy}, direction::there, given.network.one_way,
+    all.people.is_reachable = [&](index proxy) { return proxies[proxy].takes(); };
+    all.people.send = [&](const client_request &query) {
+        links.carry({link_kind::client_proxy, 0, query.proxy}, direction::forward, given.network.one_way,
                     answer_size, [&, query] {
                         auto &to = proxies[query.proxy];
                         if (!to.up()) { // it ended meanwhile: the connection is refused
@@ -49,9 +49,11 @@
                             to.take(query);
                     });
     };
-    all.people.leave = [&](const asking &query) { proxies[query.proxy].leave(query.op, query.attempt); };
-    all.on_link = [&](const link_id &which, const link_now &before, const link_now &now) {
-        links.changed(which, before, now);
+    all.people.abandon = [&](const client_request &query) {
+        proxies[query.proxy].leave(query.op, query.attempt);
+    };
+    all.on_link = [&](const link_id &which, const link_conditions &before, const link_conditions &now) {
+        links.on_conditions_changed(which, before, now);
         if (which.kind == link_kind::proxy_server)
             proxies[which.near].link_changed(which.far, before, now);
     };
--- a/src/testbed/runs/virtual_run.hpp
+++ b/src/testbed/runs/virtual_run.hpp
@@ -8,7 +8,7 @@
 namespace harrierpass::testbed {
 
 struct run_options {
-    std::ostream *trace = nullptr;    // all that the referee sees
+    std::ostream *trace = nullptr;    // all that the rule checker sees
     std::ostream *progress = nullptr; // a line every few seconds of a long run
 };
 
--- a/src/testbed/verification/merge.hpp
+++ b/src/testbed/verification/event_merge.hpp
@@ -16,7 +16,7 @@
 
 // One event as it is written down and sent: of a fixed size, so that what a killed process had written is
 // whole or is not there. Each kind uses the fields as witness has them.
-struct seen {
+struct observed_event {
     enum class kind : std::uint8_t {
         asked,
         answered,
@@ -42,14 +42,14 @@
     double when = 0; // s
 };
 
-void play(const seen &event, witness &to);
+void replay_event(const observed_event &event, witness &to);
 
 // Takes down what a process sees, and hands each event on at once.
-class writer : public witness {
+class event_recorder : public witness {
 public:
     // `now`: the machine's time at this very moment. A loop's own, which stands while it works through what
     // has come, would put an answer to another process's message before that message.
-    writer(std::function<double()> now, std::function<void(const seen &)> to)
+    event_recorder(std::function<double()> now, std::function<void(const observed_event &)> to)
         : now_(std::move(now)), to_(std::move(to)) {}
     void asked(operation op, index attempt, index proxy, index use_case, double end) override;
     void answered(operation op, index attempt, reply how, bool body_fits) override;
@@ -68,31 +68,31 @@
     void link_trouble(link_kind kind, index near, index far, bool begins) override;
 
 private:
-    void note(seen what);
+    void note(observed_event what);
     std::function<double()> now_;
-    std::function<void(const seen &)> to_;
+    std::function<void(const observed_event &)> to_;
 };
 
 class event_merge {
 public:
     // `clock` is the judge's own, and is moved to each event's time.
-    event_merge(timeline &clock, witness &judge) : clock_(clock), judge_(judge) {}
+    event_merge(timeline &clock, witness &checker) : clock_(clock), checker_(checker) {}
 
     std::size_t add_source();
-    void put(std::size_t source, const seen &event); // its time is news of the source, too
-    void heard(std::size_t source, double when);     // it has seen nothing else up to then
-    void gone(std::size_t source);                   // nothing more comes
-    void returns(std::size_t source, double when);   // but does, from then on
-    void judge();                                    // all that has its place by now
+    void add(std::size_t source, const observed_event &event); // its time is news of the source, too
+    void advance_source(std::size_t source, double when);      // it has seen nothing else up to then
+    void close_source(std::size_t source);                     // nothing more comes
+    void reopen_source(std::size_t source, double when);       // but does, from then on
+    void deliver_ready();                                      // all that has its place by now
     std::size_t waiting() const { return events_.size(); }
 
 private:
     timeline &clock_;
-    witness &judge_;
-    std::vector<double> heard_; // by source
+    witness &checker_;
+    std::vector<double> source_times_; // by source
     // By time, then source, then the order in which a source told it: equal times do not hang on the way
     // here.
-    std::map<std::tuple<double, std::size_t, std::uint64_t>, seen> events_;
+    std::map<std::tuple<double, std::size_t, std::uint64_t>, observed_event> events_;
     std::uint64_t order_ = 0;
 };
 
--- a/src/testbed/verification/run_metrics.cpp
+++ b/src/testbed/verification/fleet_metrics.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "testbed/verification/run_metrics.hpp"
+#include "testbed/verification/fleet_metrics.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -11,80 +11,80 @@
 
 } // namespace
 
-std::size_t most_within(const std::vector<double> &times, double width) {
-    std::size_t most = 0, first = 0;
+std::size_t max_within(const std::vector<double> &times, double width) {
+    std::size_t largest = 0, first = 0;
     for (std::size_t last = 0; last < times.size(); ++last) {
         while (times[last] - times[first] >= width)
             ++first;
-        most = std::max(most, last - first + 1);
+        largest = std::max(largest, last - first + 1);
     }
-    return most;
+    return largest;
 }
 
-fleet_figures::fleet_figures(const timeline &clock, const experiment &given, index servers)
-    : clock_(clock), given_(given), began_(clock.now()), dials_(servers + 1), executions_(servers + 1),
+fleet_metrics::fleet_metrics(const timeline &clock, const experiment &given, index servers)
+    : clock_(clock), experiment_(given), began_(clock.now()), dials_(servers + 1), executions_(servers + 1),
       open_(servers + 1), zones_(given.fleet.zones.size()) {
-    std::vector<bool> struck(given.proxies.count);
+    std::vector<bool> faulted(given.proxies.count);
     const auto name = [&](const std::vector<index> &proxies) {
         for (const index each : proxies)
-            struck[each] = true;
+            faulted[each] = true;
     };
     for (const auto &each : given.faults)
         name(each.proxies);
     for (const auto &each : given.links)
         if (each.kind == link_fault_kind::partition)
             name(each.proxies);
-    const auto count = std::count(struck.begin(), struck.end(), true);
-    if (count > 0 && count < static_cast<std::ptrdiff_t>(struck.size()))
-        struck_ = std::move(struck);
+    const auto count = std::count(faulted.begin(), faulted.end(), true);
+    if (count > 0 && count < static_cast<std::ptrdiff_t>(faulted.size()))
+        faulted_ = std::move(faulted);
 }
 
 // What the proxies did before the load is start-up: calls and connections of it count as of second 0.
-void fleet_figures::begin() {
+void fleet_metrics::on_load_started() {
     began_ = clock_.now();
 }
 
-std::size_t fleet_figures::second() const {
+std::size_t fleet_metrics::second() const {
     return static_cast<std::size_t>(std::max(0.0, clock_.now() - began_));
 }
 
-void fleet_figures::dialled(index server, bool there) {
+void fleet_metrics::on_connect(index server, bool there) {
     dials_.at(server).push_back(clock_.now());
     dead_dials_ += !there;
 }
 
-void fleet_figures::opened(index server) {
-    open_most_ = std::max(open_most_, ++open_.at(server));
+void fleet_metrics::on_connection_opened(index server) {
+    max_open_ = std::max(max_open_, ++open_.at(server));
 }
 
-void fleet_figures::closed(index server) {
+void fleet_metrics::on_connection_closed(index server) {
     if (open_.at(server) > 0)
         --open_[server];
 }
 
-void fleet_figures::execution(index server) {
+void fleet_metrics::on_attempt(index server) {
     auto &of = executions_.at(server);
     of.resize(std::max(of.size(), second() + 1));
     ++of[second()];
 }
 
-void fleet_figures::sent_to_dead(bool probe) {
+void fleet_metrics::on_sent_to_dead(bool probe) {
     ++(probe ? dead_probes_ : dead_sends_);
 }
 
-void fleet_figures::called(list_call as, std::size_t bytes) {
-    ++(as == list_call::whole ? whole_ : as == list_call::watch ? watch_ : refused_);
+void fleet_metrics::on_poll(list_poll as, std::size_t bytes) {
+    ++(as == list_poll::snapshot ? snapshots_ : as == list_poll::watch ? watches_ : rejected_polls_);
     list_bytes_ += bytes;
-    calls_.push_back(clock_.now());
+    poll_times_.push_back(clock_.now());
 }
 
-void fleet_figures::add(by_second &to, double worth, double asked) const {
+void fleet_metrics::add(by_second &to, double worth, double asked) const {
     to.resize(std::max(to.size(), second() + 1));
     to[second()].first += worth;
     to[second()].second += asked;
 }
 
-double fleet_figures::share(const by_second &of) {
+double fleet_metrics::share(const by_second &of) {
     double worth = 0, asked = 0;
     for (const auto &[served, wanted] : of) {
         worth += served;
@@ -93,22 +93,22 @@
     return asked > 0 ? worth / asked : 1;
 }
 
-void fleet_figures::served(index proxy, double worth, double asked) {
-    add(zones_.at(zone_of_proxy(given_, proxy)), worth, asked);
-    if (!struck_.empty())
-        add(struck_[proxy] ? struck_served_ : rest_served_, worth, asked);
+void fleet_metrics::on_request_settled(index proxy, double worth, double asked) {
+    add(zones_.at(zone_of_proxy(experiment_, proxy)), worth, asked);
+    if (!faulted_.empty())
+        add(faulted_[proxy] ? faulted_served_ : other_served_, worth, asked);
 }
 
-std::vector<std::pair<std::string, double>> fleet_figures::all(std::uint64_t queries) const {
+std::vector<std::pair<std::string, double>> fleet_metrics::all(std::uint64_t queries) const {
     const auto count = static_cast<double>(std::max<std::uint64_t>(1, queries));
-    double dials = 0, most = 0;
+    double dials = 0, largest = 0;
     for (const auto &each : dials_) {
         dials += static_cast<double>(each.size());
-        most = std::max(most, static_cast<double>(most_within(each, 1)));
+        largest = std::max(largest, static_cast<double>(max_within(each, 1)));
     }
     // In each second the busiest server against the mean of all that got any in the run.
     std::vector<double> over;
-    const auto seconds = static_cast<std::size_t>(given_.length);
+    const auto seconds = static_cast<std::size_t>(experiment_.length);
     for (std::size_t i = 0; i < seconds; ++i) {
         double sum = 0, busiest = 0, servers = 0;
         for (const auto &each : executions_) {
@@ -134,13 +134,13 @@
     }
     std::vector<std::pair<std::string, double>> made = {
         {"dials_a_query", dials / count},
-        {"dials_most_1s", most},
-        {"open_most", static_cast<double>(open_most_)},
-        {"list_whole", static_cast<double>(whole_)},
-        {"list_watch", static_cast<double>(watch_)},
-        {"list_refused", static_cast<double>(refused_)},
+        {"dials_most_1s", largest},
+        {"open_most", static_cast<double>(max_open_)},
+        {"list_whole", static_cast<double>(snapshots_)},
+        {"list_watch", static_cast<double>(watches_)},
+        {"list_refused", static_cast<double>(rejected_polls_)},
         {"list_kb", static_cast<double>(list_bytes_) / 1024},
-        {"list_most_100ms", static_cast<double>(most_within(calls_, 0.1))},
+        {"list_most_100ms", static_cast<double>(max_within(poll_times_, 0.1))},
         {"dead_dials", static_cast<double>(dead_dials_)},
         {"dead_sends", static_cast<double>(dead_sends_)},
         {"dead_probes", static_cast<double>(dead_probes_)},
@@ -149,15 +149,15 @@
         {"worst_zone", worst_zone},
         {"first_5s", early_asked > 0 ? early / early_asked : 1},
         {"after_5s", later_asked > 0 ? later / later_asked : 1}};
-    if (!struck_.empty()) {
-        made.emplace_back("struck", share(struck_served_));
-        made.emplace_back("not_struck", share(rest_served_));
+    if (!faulted_.empty()) {
+        made.emplace_back("struck", share(faulted_served_));
+        made.emplace_back("not_struck", share(other_served_));
     }
     return made;
 }
 
-std::vector<std::pair<std::string, std::vector<double>>> fleet_figures::series() const {
-    const auto seconds = static_cast<std::size_t>(std::ceil(given_.length));
+std::vector<std::pair<std::string, std::vector<double>>> fleet_metrics::series() const {
+    const auto seconds = static_cast<std::size_t>(std::ceil(experiment_.length));
     std::vector<std::pair<std::string, std::vector<double>>> made;
     const auto line = [&](const std::string &name, const by_second &of) {
         std::vector<double> values(seconds, std::nan(""));
@@ -167,10 +167,10 @@
         made.emplace_back(name, std::move(values));
     };
     for (std::size_t zone = 0; zone < zones_.size(); ++zone)
-        line("zone " + given_.fleet.zones[zone], zones_[zone]);
-    if (!struck_.empty()) {
-        line("group struck", struck_served_);
-        line("group not struck", rest_served_);
+        line("zone " + experiment_.fleet.zones[zone], zones_[zone]);
+    if (!faulted_.empty()) {
+        line("group struck", faulted_served_);
+        line("group not struck", other_served_);
     }
     std::vector<double> dials(seconds), calls(seconds);
     const auto add = [&](std::vector<double> &to, double when) {
@@ -181,7 +181,7 @@
     for (const auto &server : dials_)
         for (const double when : server)
             add(dials, when);
-    for (const double when : calls_)
+    for (const double when : poll_times_)
         add(calls, when);
     made.emplace_back("connections", std::move(dials));
     made.emplace_back("list calls", std::move(calls));
--- a/src/testbed/verification/plot.cpp
+++ b/src/testbed/verification/plot.cpp
@@ -238,7 +238,7 @@
         made.lines("service of proxies that a fault names, and of the others", groups, 1, false, 0);
     if (!calls.empty())
         made.lines("new connections and list calls a second, all proxies", calls, 0, false, 0);
-    made.heat(names[0] + ": executions in hand by server", by_name[names[0]][0]->in_hand);
+    made.heat(names[0] + ": executions in hand by server", by_name[names[0]][0]->in_flight);
     return made.text();
 }
 
--- a/src/testbed/verification/report.cpp
+++ b/src/testbed/verification/report.cpp
@@ -81,7 +81,7 @@
                  {"p99", run.p99},
                  {"p999", run.p999},
                  {"lateness_p99", run.lateness_p99},
-                 {"lateness_most", run.lateness_most},
+                 {"lateness_most", run.max_lateness},
                  {"void_because", run.void_because},
                  {"slot_length", run.slot_length}};
     for (const auto &[name, value] : run.rules)
@@ -98,8 +98,9 @@
         made["each_proxy"] = {{"cpu_s", run.proxy_cpu}, {"mb", run.proxy_mb}};
     for (const auto &[name, values] : run.series)
         made["series"][name] = values;
-    made["slots"] = {{"service", run.slot_service}, {"p50", run.slot_p50},         {"p99", run.slot_p99},
-                     {"rate", run.slot_rate},       {"fetches", run.slot_fetches}, {"in_hand", run.in_hand}};
+    made["slots"] = {{"service", run.slot_service}, {"p50", run.slot_p50},
+                     {"p99", run.slot_p99},         {"rate", run.slot_rate},
+                     {"fetches", run.slot_fetches}, {"in_hand", run.in_flight}};
     json faults = json::array();
     for (const auto &each : shades_of(of))
         faults.push_back({{"kind", each.name}, {"at", each.at}, {"for", each.lasts}});
@@ -156,7 +157,7 @@
             run.slot_p99 = list("p99");
             run.slot_rate = list("rate");
             run.slot_fetches = list("fetches");
-            run.in_hand = from.at("slots").at("in_hand").get<std::vector<std::vector<double>>>();
+            run.in_flight = from.at("slots").at("in_hand").get<std::vector<std::vector<double>>>();
             all.push_back(std::move(made));
         } catch (const json::exception &bad) {
             throw bad_experiment(path + ":" + std::to_string(number) + ": no result: " + bad.what());
@@ -165,7 +166,7 @@
     return all;
 }
 
-void print(std::ostream &to, const run_result &run, bool stories) {
+void print(std::ostream &to, const run_result &run, bool histories) {
     std::ostringstream text;
     text << std::fixed;
     text << run.experiment << " seed " << run.seed << ' ' << run.variant << " (" << run.mode << "): service "
@@ -185,14 +186,14 @@
             text << "  RULE BROKEN " << name << ": " << value << " times\n";
     if (!run.void_because.empty())
         text << "  DOES NOT COUNT: " << run.void_because << '\n';
-    if (stories && !run.fleet.empty()) {
+    if (histories && !run.fleet.empty()) {
         text << " ";
         for (const auto &[name, value] : run.fleet)
             text << ' ' << name << ' ' << std::setprecision(value == std::round(value) ? 0 : 3) << value;
         text << '\n';
     }
-    if (stories)
-        for (const auto &each : run.stories)
+    if (histories)
+        for (const auto &each : run.histories)
             text << each;
     to << text.str() << std::flush;
 }
--- a/src/testbed/verification/report.hpp
+++ b/src/testbed/verification/report.hpp
@@ -20,7 +20,7 @@
 // Throws bad_experiment with file and line.
 std::vector<stored_result> read_results(const std::string &path);
 
-void print(std::ostream &to, const run_result &run, bool stories);
+void print(std::ostream &to, const run_result &run, bool histories);
 
 // Figures of the whole fleet as a table in Markdown, medians over the seeds (rules broken: their sum), a
 // column an experiment.
--- a/src/testbed/verification/result.hpp
+++ b/src/testbed/verification/result.hpp
@@ -32,7 +32,7 @@
     std::uint64_t queries = 0, completed = 0, late = 0, rejected = 0, aborted = 0, none = 0, retries = 0;
     std::uint64_t executions = 0, fetches = 0, events = 0, trace = 0;
     double p50 = 0, p90 = 0, p99 = 0, p999 = 0;                     // s, of completed queries
-    double lateness_p99 = 0, lateness_most = 0;                     // s, of the load generator itself
+    double lateness_p99 = 0, max_lateness = 0;                      // s, of the load generator itself
     std::vector<std::pair<std::string, std::uint64_t>> rules;       // broken, by name
     std::vector<std::pair<std::string, std::uint64_t>> proxies;     // their counts
     std::vector<std::pair<std::string, double>> use_cases, tenants; // service by name
@@ -40,13 +40,13 @@
     std::vector<std::pair<std::string, std::vector<double>>>
         series;                              // by second of the run; NaN: nothing there
     std::vector<double> proxy_cpu, proxy_mb; // s, MB at its end: of each real proxy, by number
-    std::vector<std::string> stories;
+    std::vector<std::string> histories;
     std::string void_because; // not empty: the run does not count
 
     // By part of the run, for plots.
     double slot_length = 0;
     std::vector<double> slot_service, slot_p50, slot_p99, slot_rate, slot_fetches;
-    std::vector<std::vector<double>> in_hand; // by server: mean in hand by slot
+    std::vector<std::vector<double>> in_flight; // by server: mean in hand by slot
 
     std::uint64_t broken() const;
 };
--- a/src/testbed/verification/rule_checker.hpp
+++ b/src/testbed/verification/rule_checker.hpp
@@ -44,11 +44,11 @@
 };
 const char *name_of(rule which);
 
-class referee : public witness {
+class rule_checker : public witness {
 public:
     // `slack`: s by which the clocks of threads and sockets may differ.
-    referee(const timeline &clock, const experiment &given, double slack)
-        : clock_(clock), given_(given), slack_(slack) {}
+    rule_checker(const timeline &clock, const experiment &given, double slack)
+        : clock_(clock), experiment_(given), slack_(slack) {}
 
     void asked(operation op, index attempt, index proxy, index use_case, double end) override;
     void answered(operation op, index attempt, reply how, bool body_fits) override;
@@ -71,17 +71,17 @@
 
     std::uint64_t broken(rule which) const;
     std::uint64_t broken() const;
-    const std::vector<std::string> &stories() const { return stories_; } // of the first few
+    const std::vector<std::string> &histories() const { return histories_; } // of the first few
     std::uint64_t executions() const { return executions_; }
     std::uint64_t effects() const { return effects_; }
     std::uint64_t late_effects() const { return late_effects_; }
     std::size_t records() const { return records_.size(); }
     std::uint64_t trace_hash() const { return hash_; } // of all that was seen, in its order
-    bool strangers = false;                            // queries may come that none of our clients asked
+    bool allow_unknown_requests = false;               // queries may come that none of our clients asked
     std::ostream *trace = nullptr;                     // where each thing seen is written, a line each
 
 private:
-    enum class what : std::uint8_t {
+    enum class step_kind : std::uint8_t {
         asked,
         completed,
         rejected,
@@ -94,34 +94,34 @@
     };
     struct step {
         double when;
-        what is;
+        step_kind is;
         index attempt, who;
     };
-    struct open_try {
+    struct open_attempt {
         index attempt, proxy, out = 0;
         double end, asked;
         bool answered = false, excused = false, gone = false; // gone: its client left before an answer
         bool untaken = false; // as far as its client can tell, no proxy has read it
         index out_at = none;  // the server that the latest one is at
     };
-    struct run_of { // one execution
+    struct received_attempt { // one execution
         index attempt, server;
         double received;
         bool held = false; // its way was in trouble: when it was sent is not known
         bool ran = false;
     };
     struct record {
-        std::vector<run_of> runs;
+        std::vector<received_attempt> runs;
         index use_case = 0, effects = 0;
         bool settled = false;
-        std::vector<open_try> tries;
+        std::vector<open_attempt> tries;
         std::vector<step> steps;
     };
-    struct notice {
+    struct announced_state {
         endpoint_state as = endpoint_state::ready;
         double when = 0;
     };
-    struct trouble {
+    struct impairment {
         bool now = false;
         double since = 0, until = -1e9;
     };
@@ -131,28 +131,28 @@
         index attempt, server; // of the second one
         double when;
     };
-    void judge_overlaps(double until);
+    void check_overlaps(double until);
     std::uint64_t overlaps_due() const; // that the next event makes broken rules
-    bool strained(link_kind kind, index near, index far, double at) const;
+    bool link_impaired(link_kind kind, index near, index far, double at) const;
     record *find(operation op);
-    open_try *find(record &of, index attempt);
-    void note(record &to, operation op, what is, index attempt, index who);
-    void blame(rule which, operation op, const std::string &why);
-    std::string story(operation op) const;
-    void forget();
+    open_attempt *find(record &of, index attempt);
+    void record_step(record &to, operation op, step_kind is, index attempt, index who);
+    void record_violation(rule which, operation op, const std::string &why);
+    std::string history(operation op) const;
+    void drop_old_records();
 
     const timeline &clock_;
-    const experiment &given_;
+    const experiment &experiment_;
     const double slack_;
     std::unordered_map<operation, record> records_; // nothing depends on its order
     std::deque<std::pair<double, operation>> settled_;
-    std::deque<overlap> overlaps_;                    // by time
-    std::vector<std::vector<notice>> told_;           // by proxy, server
-    std::vector<index> paused_;                       // by proxy: faults that hold it now
-    std::vector<double> paused_since_, paused_until_; // by proxy
-    std::map<std::tuple<link_kind, index, index>, trouble> links_;
+    std::deque<overlap> overlaps_;                               // by time
+    std::vector<std::vector<announced_state>> announced_states_; // by proxy, server
+    std::vector<index> paused_;                                  // by proxy: faults that hold it now
+    std::vector<double> paused_since_, paused_until_;            // by proxy
+    std::map<std::tuple<link_kind, index, index>, impairment> links_;
     std::array<std::uint64_t, static_cast<std::size_t>(rule::total)> broken_{};
-    std::vector<std::string> stories_;
+    std::vector<std::string> histories_;
     std::uint64_t executions_ = 0, effects_ = 0, late_effects_ = 0, hash_ = 14695981039346656037ULL;
 };
 
--- a/tests/support/testbed_helpers.hpp
+++ b/tests/support/testbed_helpers.hpp
@@ -18,7 +18,7 @@
 
 struct caller {
     caller(loop &with, const std::string &to)
-        : on(std::make_shared<channel>(with, dial_soon(*parse_address(to)),
+        : on(std::make_shared<channel>(with, start_connecting(*parse_address(to)),
                                        http_reader::message_kind::response)) {
         on->on_message = [this](const auto &, const http_reader &answer) {
             said = std::to_string(answer.head().status) + " " + std::string(answer.head().header("X-Cache"));
--- a/tests/testbed/cold_start_test.cpp
+++ b/tests/testbed/cold_start_test.cpp
@@ -64,7 +64,7 @@
         parse_experiment(tier + "[proxies]\ncount = 24\nshared_list = true\n" + proxies + faults, "day.toml");
     given.proxies.shared_list = !agent;
     auto run = on_sockets(given, logs);
-    for (const auto &each : run.stories)
+    for (const auto &each : run.histories)
         MESSAGE(each);
     CHECK(run.broken() == 0);
     return run;
