--- a/tests/testbed/many_test.cpp
+++ b/tests/testbed/many_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 // Many processes and what breaks between them: each fault of a link and of a process is made, and seen where
-// it should be; the referee over processes sees what is planted and judges events in their order.
+// it should be; the rule checker over processes sees what is planted and judges events in their order.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include "support/helpers.hpp"
 #include "support/process_helpers.hpp"
@@ -100,8 +100,9 @@
     explicit wires(const std::string &faults)
         : given(made("[fleet]\nservers = 2\n[proxies]\ncount = 2\n" + faults)), table(given, 2, 1),
           between(in, table, 1) {
-        table.on_change = [this](const link_id &which, const link_now &before, const link_now &now) {
-            between.changed(which, before, now);
+        table.on_change = [this](const link_id &which, const link_conditions &before,
+                                 const link_conditions &now) {
+            between.on_conditions_changed(which, before, now);
         };
         for (index i = 0; i < 2; ++i) {
             listening.push_back(listen_on(*parse_address("127.0.0.1:0")));
@@ -117,7 +118,9 @@
         for (const auto &each : listening)
             in.forget(each.get());
     }
-    std::unique_ptr<talker> near(index which) { return std::make_unique<talker>(in, dial_soon(at[which])); }
+    std::unique_ptr<talker> near(index which) {
+        return std::make_unique<talker>(in, start_connecting(at[which]));
+    }
     // A byte over the link that is well, there and back: what the other link would bring has had its time,
     // and more, as `rounds` of them pass.
     void time_passes(int rounds = 20) {
@@ -174,10 +177,10 @@
     of.far[2]->close(true);
     until(of.in, [&] { return three->reset; });
 
-    of.between.far_end(link_kind::proxy_server, 0, far_state::refuses);
+    of.between.set_far_state(link_kind::proxy_server, 0, far_state::refuses);
     auto four = of.near(0);
     until(of.in, [&] { return four->refused; });
-    of.between.far_end(link_kind::proxy_server, 0, far_state::up);
+    of.between.set_far_state(link_kind::proxy_server, 0, far_state::up);
     auto five = of.near(0); // the same address
     until(of.in, [&] { return of.far.size() == 4; });
 }
@@ -331,40 +334,40 @@
             return all[who].heard == what;
         });
     };
-    all[0].say(between.as_seen(0, 1), "a");
+    all[0].say(between.address_of(0, 1), "a");
     hears(1, "a");
-    CHECK(all[1].sender == to_text(between.as_seen(1, 0)));
-    all[1].say(between.as_seen(1, 0), "b");
+    CHECK(all[1].sender == to_text(between.address_of(1, 0)));
+    all[1].say(between.address_of(1, 0), "b");
     hears(0, "b");
-    all[0].say(between.all_as_seen(0), "c");
+    all[0].say(between.broadcast_address(0), "c");
     hears(1, "ac");
     hears(2, "c");
-    all[2].say(between.as_seen(0, 1), "forged"); // from an address that is not proxy 0's
-    all[0].say(between.as_seen(0, 1), std::string(257, 'l'));
+    all[2].say(between.address_of(0, 1), "forged"); // from an address that is not proxy 0's
+    all[0].say(between.address_of(0, 1), std::string(257, 'l'));
     table.apply(0, true);
-    all[0].say(between.as_seen(0, 1), "d");
-    all[1].say(between.as_seen(1, 0), "e"); // the other direction is well
+    all[0].say(between.address_of(0, 1), "d");
+    all[1].say(between.address_of(1, 0), "e"); // the other direction is well
     hears(0, "be");
     table.apply(0, false);
     table.apply(1, true);
-    all[0].say(between.as_seen(0, 1), "f");
+    all[0].say(between.address_of(0, 1), "f");
     hears(1, "acff");
     table.apply(1, false);
     table.apply(2, true);
-    all[0].say(between.as_seen(0, 1), "g");
-    until(in, [&] { return between.seen().reordered == 1; });
+    all[0].say(between.address_of(0, 1), "g");
+    until(in, [&] { return between.counters().reordered == 1; });
     table.apply(2, false);
-    all[0].say(between.as_seen(0, 1), "h");
+    all[0].say(between.address_of(0, 1), "h");
     hears(1, "acffhg");
     table.apply(3, true);
-    all[0].say(between.as_seen(0, 1), "i");
-    all[1].say(between.as_seen(1, 0), "j");
-    all[1].say(between.as_seen(1, 2), "k");
+    all[0].say(between.address_of(0, 1), "i");
+    all[1].say(between.address_of(1, 0), "j");
+    all[1].say(between.address_of(1, 2), "k");
     hears(2, "ck");
-    until(in, [&] { return between.seen().lost == 3; });
+    until(in, [&] { return between.counters().dropped == 3; });
     CHECK(all[0].heard == "be");
-    CHECK(between.seen().foreign == 1);
-    CHECK(between.seen().too_long == 1);
+    CHECK(between.counters().foreign == 1);
+    CHECK(between.counters().too_long == 1);
 }
 
 TEST_CASE("a fault of a link that cannot be made is refused with file, line and reason") {
@@ -417,26 +420,26 @@
     const experiment given = made("");
     for (const bool merges : {true, false}) {
         timeline clock;
-        referee judge(clock, given, 0);
+        rule_checker judge(clock, given, 0);
         event_merge events(clock, judge);
         const auto own = events.add_source(), one = events.add_source(), two = events.add_source();
-        const auto put = [&](std::size_t source, seen what, double when) {
+        const auto put = [&](std::size_t source, observed_event what, double when) {
             what.when = when;
             if (merges)
-                return events.put(source, what);
-            play(what, judge);
+                return events.add(source, what);
+            replay_event(what, judge);
         };
-        put(own, {seen::kind::asked, 0, 0, 0, 0, 0, 7, 10}, 1);
-        put(one, {seen::kind::received, 0, 0, 0, 0, 0, 7, 1.1}, 1.1);
-        put(two, {seen::kind::received, 0, 0, 0, 1, 0, 7, 1.3}, 1.3);
-        events.heard(own, 5);
-        events.heard(two, 5);
-        events.judge(); // the first one may have more to say
+        put(own, {observed_event::kind::asked, 0, 0, 0, 0, 0, 7, 10}, 1);
+        put(one, {observed_event::kind::received, 0, 0, 0, 0, 0, 7, 1.1}, 1.1);
+        put(two, {observed_event::kind::received, 0, 0, 0, 1, 0, 7, 1.3}, 1.3);
+        events.advance_source(own, 5);
+        events.advance_source(two, 5);
+        events.deliver_ready(); // the first one may have more to say
         CHECK(judge.broken(rule::two_out) == (merges ? 0 : 1));
         CHECK(judge.executions() == (merges ? 0 : 2));
-        put(one, {seen::kind::over, 0, 0, 0, 0, 0, 7}, 1.2);
-        events.gone(one);
-        events.judge();
+        put(one, {observed_event::kind::over, 0, 0, 0, 0, 0, 7}, 1.2);
+        events.close_source(one);
+        events.deliver_ready();
         CHECK(judge.executions() == 2);
         CHECK(judge.broken(rule::two_out) == (merges ? 0 : 1));
         CHECK(events.waiting() == 0);
@@ -486,7 +489,7 @@
              "notice = \"100ms\"\nlag = \"1ms\"\n");
     loop in;
     stage all(in.clock, given, 1, 0.05, [&in] { return in.exact(); });
-    all.judge.strangers = true;
+    all.judge.allow_unknown_requests = true;
     const std::string folder = folder_of("many-parts-");
     {
         fleet_ports ports(in, all, {}, {HARRIERPASS_TESTBED_PROGRAM, folder});
@@ -555,8 +558,8 @@
         ports.end();
         until(in, [&] { return ports.ended(); });
         CHECK(ports.deaths() == 0);
-        all.events.gone(all.own_events);
-        all.events.judge();
+        all.events.close_source(all.own_events);
+        all.events.deliver_ready();
         CHECK(all.judge.executions() == 7); // nothing that was seen is lost with a process
         CHECK(all.judge.effects() == 7);
         CHECK(all.judge.broken() == 0);
@@ -597,7 +600,7 @@
 )");
     const std::string folder = folder_of("many-proxies-");
     const auto run = on_sockets(given, folder);
-    for (const auto &each : run.stories)
+    for (const auto &each : run.histories)
         MESSAGE(each);
     CHECK(run.broken() == 0);
     CHECK(run.none <= 3); // what the killed one held
@@ -637,7 +640,7 @@
 between = ["proxy-server"]
 )");
     const auto run = on_sockets(given);
-    for (const auto &each : run.stories)
+    for (const auto &each : run.histories)
         MESSAGE(each);
     CHECK(run.broken() == 0);
     CHECK(run.aborted + run.rejected > 5); // the link was down
@@ -698,7 +701,7 @@
         CAPTURE(std::string(name_of(which)));
         const auto run = on_sockets(given, "", breaks);
         CHECK(run.rules[static_cast<std::size_t>(which)].second > 0);
-        CHECK(!run.stories.empty());
+        CHECK(!run.histories.empty());
     }
 }
 
@@ -713,7 +716,7 @@
     const auto with = [&](const std::string &faults) {
         auto run = run_virtual(made(day + faults), {}, 1);
         CAPTURE(faults);
-        for (const auto &each : run.stories)
+        for (const auto &each : run.histories)
             MESSAGE(each);
         CHECK(run.broken() == 0);
         return run;
@@ -793,7 +796,7 @@
 proxies = [12, 13]
 )");
     const auto with = on_sockets(given), without = on_sockets(given, "", plant::nothing, decider::whole_list);
-    for (const auto &each : with.stories)
+    for (const auto &each : with.histories)
         MESSAGE(each);
     CHECK(with.broken() == 0);
     CHECK(with.completed > 1000);
--- a/tests/testbed/testbed_test.cpp
+++ b/tests/testbed/testbed_test.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
-// The laboratory: its models, its referee (which must see what is planted, and nothing where nothing is), its
-// files, and the real proxy on sockets before it.
+// The laboratory: its models, its rule checker (which must see what is planted, and nothing where nothing
+// is), its files, and the real proxy on sockets before it.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include "support/helpers.hpp"
 #include "support/process_helpers.hpp"
 #include "support/testbed_helpers.hpp"
 
-#include "testbed/load/client_port.hpp"
+#include "testbed/load/client_connections.hpp"
 #include "testbed/processes/fleet_ports.hpp"
 #include "testbed/runs/socket_run.hpp"
 #include "testbed/runs/virtual_run.hpp"
@@ -137,7 +137,7 @@
         : given(made(rest)), judge(clock, given, 0), servers(clock, given, judge, 1) {}
     void send(double at, index server, const job &what) {
         clock.at(at, [this, server, what] {
-            judge.strangers = true;
+            judge.allow_unknown_requests = true;
             judge.meet(what.op, what.attempt, what.use_case);
             judge.received(what.op, what.attempt, server, clock.now());
             servers.at(server).receive(what, [this, what, server](const result &with) {
@@ -153,7 +153,7 @@
     };
     timeline clock;
     experiment given;
-    referee judge;
+    rule_checker judge;
     fleet servers;
     std::vector<one> came;
 };
@@ -237,10 +237,10 @@
         CAPTURE(std::string(name_of(which)));
         CHECK(run.rules[static_cast<std::size_t>(which)].first == name_of(which));
         CHECK(run.rules[static_cast<std::size_t>(which)].second > 0);
-        REQUIRE(!run.stories.empty());
+        REQUIRE(!run.histories.empty());
         if (which != rule::cold) { // the first story tells the query's life
             const bool told =
-                std::any_of(run.stories.begin(), run.stories.end(), [&](const std::string &story) {
+                std::any_of(run.histories.begin(), run.histories.end(), [&](const std::string &story) {
                     return story.find(std::string("rule ") + name_of(which)) != std::string::npos &&
                            story.find("asked of proxy") != std::string::npos;
                 });
@@ -250,7 +250,7 @@
     for (const std::uint32_t seed : {1U, 2U, 3U}) {
         const auto clean = run_virtual(given, {}, seed);
         CHECK(clean.broken() == 0);
-        CHECK(clean.stories.empty());
+        CHECK(clean.histories.empty());
         CHECK(clean.queries > 700);
         CHECK(clean.executions >= clean.completed);
     }
@@ -265,7 +265,7 @@
             group == "all" ? deduplication_scope::all : deduplication_scope::cell;
         given.use_cases[1].decides.deduplication_window = 2;
         timeline clock;
-        referee judge(clock, given, 0);
+        rule_checker judge(clock, given, 0);
         judge.asked(7, 0, 0, 1, 100);
         judge.received(7, 0, 0, 0);
         if (!held)
@@ -361,7 +361,7 @@
     given.fleet.warm = false;
     loop in;
     stage all(in.clock, given, 1, 0.05);
-    all.judge.strangers = true;
+    all.judge.allow_unknown_requests = true;
     const fleet_ports ports(in, all);
     caller one(in, ports.server_at(0)), two(in, ports.server_at(1));
     one.get("a1", "/lookup/7");
@@ -426,9 +426,9 @@
 
 run_result on_sockets(const std::string &rest, bool embeds, decider by = decider::module) {
     auto run = on_sockets(made(rest), "", plant::nothing, by, embeds);
-    CAPTURE(run.stories);
+    CAPTURE(run.histories);
     std::string stories;
-    for (const auto &each : run.stories)
+    for (const auto &each : run.histories)
         stories += each;
     CAPTURE(stories);
     CHECK(run.broken() == 0);
