--- a/src/testbed/links/relay.cpp
+++ b/src/testbed/links/relay.cpp
@@ -1,14 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "testbed/links/relay.hpp"
 
+#include "testbed/links/socket_controls.hpp"
 #include "testbed/loop/channel.hpp"
 
 #include <algorithm>
 #include <array>
 #include <cerrno>
-#include <cstring>
-#include <linux/filter.h>
-#include <netinet/tcp.h>
 #include <sys/epoll.h>
 #include <sys/socket.h>
 #include <system_error>
@@ -20,34 +18,7 @@
 constexpr std::size_t read_size = 65536; // bytes read at a time
 constexpr std::size_t max_queued_bytes =
     262144;                                     // bytes of a direction that wait; more stay with their sender
-constexpr std::size_t max_datagram_bytes = 256; // bytes; the platform's limit
-constexpr double reorder_delay = 0.02;          // s that a datagram is held so that later ones pass it
 constexpr std::uint32_t relay_net = 0x7f100000; // 127.16.0.0 and on: links' own addresses
-constexpr std::uint32_t datagram_net = 0x7fc80000; // 127.200.0.0 and on
-
-void reset_on_close(const tcp_socket &of) {
-    const linger none_left{1, 0};
-    setsockopt(of.get(), SOL_SOCKET, SO_LINGER, &none_left, sizeof none_left);
-}
-
-// Whether the other side has ended its sending.
-bool peer_has_ended(const tcp_socket &of) {
-    tcp_info info{};
-    socklen_t size = sizeof info;
-    return getsockopt(of.get(), IPPROTO_TCP, TCP_INFO, &info, &size) != 0 ||
-           info.tcpi_state == TCP_CLOSE_WAIT || info.tcpi_state == TCP_CLOSE;
-}
-
-// Listeners with a filter that takes nothing: the system answers no connection, as if nobody were there.
-void set_drop_filter(const tcp_socket &on, bool drops) {
-    sock_filter nothing{BPF_RET | BPF_K, 0, 0, 0};
-    const sock_fprog all{1, &nothing};
-    const int unused = 0;
-    const int failed = drops ? setsockopt(on.get(), SOL_SOCKET, SO_ATTACH_FILTER, &all, sizeof all)
-                             : setsockopt(on.get(), SOL_SOCKET, SO_DETACH_FILTER, &unused, sizeof unused);
-    if (failed != 0)
-        throw std::system_error(errno, std::generic_category(), "cannot drop what connects to a link");
-}
 
 } // namespace
 
@@ -77,8 +48,9 @@
     auto &made = links_[key(which)];
     made.id = which;
     made.far = far;
-    // An address of its own for each link: no connection that is made here can take its port meanwhile. The
-    // process's number keeps two runs on one machine apart.
+    // An address of its own for each link: no connection that is made here can
+    // take its port meanwhile. The process's number keeps two runs on one machine
+    // apart.
     const auto place = static_cast<std::uint32_t>(links_.size());
     made.at = ipv4(relay_net + (static_cast<std::uint32_t>(::getpid() % 100) << 16) + place, 0);
     listen(made);
@@ -170,7 +142,8 @@
     const bool reads = !here.connecting && !sends.sender_ended && !now.at(out).dropped &&
                        sends.queued_bytes < max_queued_bytes;
     const std::uint32_t events = (reads ? EPOLLIN : 0U) | (writes ? EPOLLOUT : 0U);
-    // Nothing more can come from a side that has ended and been ended: its hang-up would be told for ever.
+    // Nothing more can come from a side that has ended and been ended: its
+    // hang-up would be told for ever.
     const bool done = here.gone || !here.socket || (sends.sender_ended && gets.end_forwarded);
     const int fd = here.socket.get();
     if (done && here.watched) {
@@ -194,23 +167,14 @@
     side &here = near ? of.near : of.far;
     const direction out = near ? direction::forward : direction::backward;
     const bool broke = (events & (EPOLLERR | EPOLLHUP)) != 0;
-    if (here.connecting) {
-        int failed = 0;
-        socklen_t size = sizeof failed;
-        getsockopt(here.socket.get(), SOL_SOCKET, SO_ERROR, &failed, &size);
-        if (failed != 0)
-            return finish(tag, true, false);
-        here.connecting = false;
-        write_to_receiver(tag, direction::forward);
-        if (connections_.contains(tag))
-            update_interest(of);
-        return;
-    }
+    if (here.connecting)
+        return on_connected(of);
     if (broke && table_.conditions(of.of).at(out).dropped) { // nobody can be told now
         here.gone = true;
         return update_interest(of);
     }
-    // Guards against a reset that a full direction would never read, and be told of for ever.
+    // A full direction is not read: without this its reset would be reported by
+    // each epoll_wait.
     if ((events & EPOLLERR) != 0)
         return finish(tag, !near, near);
     if ((events & EPOLLIN) != 0 || broke)
@@ -219,6 +183,32 @@
         write_to_receiver(tag, near ? direction::backward : direction::forward);
 }
 
+// The connection to the far end is up, or has failed.
+void relay::on_connected(proxied_connection &of) {
+    int failed = 0;
+    socklen_t size = sizeof failed;
+    getsockopt(of.far.socket.get(), SOL_SOCKET, SO_ERROR, &failed, &size);
+    if (failed != 0)
+        return finish(of.tag, true, false);
+    of.far.connecting = false;
+    const auto tag = of.tag;
+    write_to_receiver(tag, direction::forward);
+    if (connections_.contains(tag))
+        update_interest(of);
+}
+
+// When bytes that were read now may be written: after the delay, at the link's
+// rate, and in their order.
+double relay::due_time(const proxied_connection &of, direction to, std::size_t bytes) {
+    const direction_conditions &conditions = table_.conditions(of.of).at(to);
+    const double now = loop_.clock.now();
+    const double wire =
+        conditions.bytes_per_second > 0 ? static_cast<double>(bytes) / conditions.bytes_per_second : 0;
+    const double jitter = conditions.jitter > 0 ? conditions.jitter * random_.part() : 0;
+    const double last_due = of.streams[static_cast<int>(to)].last_due;
+    return std::max({now + conditions.delay + jitter, last_due + wire, now + wire});
+}
+
 void relay::read_from_sender(proxied_connection &of, direction to) {
     const auto tag = of.tag;
     side &from = to == direction::forward ? of.near : of.far;
@@ -230,13 +220,8 @@
             break;
         if (got < 0)
             return finish(tag, to == direction::backward, to == direction::forward);
-        const direction_conditions &conditions = table_.conditions(of.of).at(to);
         const double now = loop_.clock.now();
-        const double wire =
-            conditions.bytes_per_second > 0 ? static_cast<double>(got) / conditions.bytes_per_second : 0;
-        double due =
-            now + conditions.delay + (conditions.jitter > 0 ? conditions.jitter * random_.part() : 0);
-        due = std::max({due, into.last_due + wire, now + wire}); // in its order, at its pace
+        const double due = due_time(of, to, static_cast<std::size_t>(got));
         into.last_due = due;
         if (got == 0)
             into.sender_ended = true;
@@ -276,18 +261,25 @@
         if (next.bytes.empty())
             from.chunks.pop_front();
     }
-    const bool may_end = from.sender_ended && !from.end_forwarded && from.chunks.empty() &&
-                         from.last_due <= now && !into.connecting &&
-                         !table_.conditions(of.of).at(to).dropped && !of.far_end_dead;
-    if (may_end) {
-        from.end_forwarded = true;
-        ::shutdown(into.socket.get(), SHUT_WR);
-    }
+    forward_end(of, to);
     if (of.streams[0].end_forwarded && of.streams[1].end_forwarded)
         return finish(tag, false, false);
     update_interest(of);
 }
 
+// Ends the receiver's half once the sender's has ended and all that it sent was
+// written.
+void relay::forward_end(proxied_connection &of, direction to) {
+    const side &into = to == direction::forward ? of.far : of.near;
+    byte_stream &from = of.streams[static_cast<int>(to)];
+    const bool all_written = from.chunks.empty() && from.last_due <= loop_.clock.now();
+    const bool reachable = !into.connecting && !table_.conditions(of.of).at(to).dropped && !of.far_end_dead;
+    if (!from.sender_ended || from.end_forwarded || !all_written || !reachable)
+        return;
+    from.end_forwarded = true;
+    ::shutdown(into.socket.get(), SHUT_WR);
+}
+
 void relay::finish(std::uint64_t tag, bool reset_near, bool reset_far) {
     const auto found = connections_.find(tag);
     if (found == connections_.end())
@@ -313,177 +305,56 @@
     for (const auto &[tag, each] : connections_)
         if (each->of == which)
             tags.push_back(tag);
-    for (const auto tag : tags) {
-        proxied_connection &of = *connections_.at(tag);
-        if (now.resets) {
-            finish(tag, true, true);
-            continue;
-        }
-        if (now.half_open && !before.half_open) {
-            of.far_end_dead = true;
-            if (of.far.watched)
-                loop_.forget(of.far.socket.get());
-            of.far.watched = false;
-            of.far.gone = true;
-            reset_on_close(of.far.socket);
-            of.far.socket.close();
-            of.streams[0].chunks.clear();
-            of.streams[1].chunks.clear();
-            of.streams[0].queued_bytes = of.streams[1].queued_bytes = 0;
-            of.streams[1].sender_ended = true; // nothing comes from it any more, nor its end
-        }
-        if (before.half_open && !now.half_open && of.far_end_dead) {
-            finish(tag, true, false);
-            continue;
-        }
-        if (of.far_end_dead) {
-            update_interest(of);
-            continue;
-        }
-        // A sender that has ended meanwhile takes what was held with it.
-        const auto lost = [&](direction conditions, const side &from) {
-            return before.at(conditions).dropped && !now.at(conditions).dropped &&
-                   (from.gone || peer_has_ended(from.socket));
-        };
-        const bool near_lost = lost(direction::forward, of.near),
-                   far_lost = lost(direction::backward, of.far);
-        if (near_lost || far_lost) {
-            finish(tag, far_lost, near_lost);
-            continue;
-        }
-        write_to_receiver(tag, direction::forward);
-        write_to_receiver(tag, direction::backward);
-        if (connections_.contains(tag))
-            update_interest(of);
-    }
-}
-
-// ---- Datagrams
-
-datagram_relay::datagram_relay(loop &in, const link_table &table, std::vector<address> proxies,
-                               std::uint32_t seed)
-    : loop_(in), table_(table), proxies_(std::move(proxies)), random_(seed) {
-    socket_ = tcp_socket(::socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
-    const address any = ipv4(INADDR_ANY, 0);
-    const int on = 1;
-    if (!socket_ || ::bind(socket_.get(), reinterpret_cast<const sockaddr *>(&any.where), any.size) != 0 ||
-        setsockopt(socket_.get(), IPPROTO_IP, IP_PKTINFO, &on, sizeof on) != 0)
-        throw std::system_error(errno, std::generic_category(), "no socket for datagrams");
-    port_ = port_of(local_address(socket_));
-    loop_.watch(socket_.get(), EPOLLIN, [this](std::uint32_t) { read(); });
-}
-
-datagram_relay::~datagram_relay() {
-    loop_.forget(socket_.get());
-}
-
-address datagram_relay::numbered_address(std::uint32_t number) const {
-    return ipv4(datagram_net + number, port_);
-}
-
-address datagram_relay::address_of(index by, index other) const {
-    return numbered_address(by * static_cast<std::uint32_t>(proxies_.size()) + other + 1);
-}
-
-address datagram_relay::broadcast_address(index by) const {
-    const auto count = static_cast<std::uint32_t>(proxies_.size());
-    return numbered_address(count * count + by + 1);
+    for (const auto tag : tags)
+        apply_conditions(tag, before, now);
 }
 
-void datagram_relay::read() {
-    std::array<char, 2048> bytes;
-    std::array<char, 256> extra;
-    for (;;) {
-        sockaddr_in from{};
-        iovec part{bytes.data(), bytes.size()};
-        msghdr message{};
-        message.msg_name = &from;
-        message.msg_namelen = sizeof from;
-        message.msg_iov = &part;
-        message.msg_iovlen = 1;
-        message.msg_control = extra.data();
-        message.msg_controllen = extra.size();
-        const auto got = ::recvmsg(socket_.get(), &message, MSG_DONTWAIT);
-        if (got < 0)
-            return;
-        std::uint32_t to = 0;
-        for (cmsghdr *each = CMSG_FIRSTHDR(&message); each != nullptr; each = CMSG_NXTHDR(&message, each))
-            if (each->cmsg_level == IPPROTO_IP && each->cmsg_type == IP_PKTINFO) {
-                in_pktinfo info{};
-                std::memcpy(&info, CMSG_DATA(each), sizeof info);
-                to = ntohl(info.ipi_addr.s_addr);
-            }
-        const auto count = static_cast<std::uint32_t>(proxies_.size());
-        const std::uint32_t number = to - datagram_net - 1;
-        const bool all = number >= count * count;
-        const index by = all ? number - count * count : number / count;
-        address sender;
-        std::memcpy(&sender.where, &from, sizeof from);
-        sender.size = sizeof from;
-        if (to <= datagram_net || by >= count || to_text(sender) != to_text(proxies_[by])) {
-            ++counters_.foreign;
-            continue;
-        }
-        ++counters_.sent;
-        counters_.bytes += static_cast<std::uint64_t>(got);
-        if (static_cast<std::size_t>(got) > max_datagram_bytes) {
-            ++counters_.too_long;
-            continue;
-        }
-        const std::string what(bytes.data(), static_cast<std::size_t>(got));
-        if (!all)
-            carry(by, number % count, what);
-        for (index other = 0; all && other < count; ++other)
-            if (other != by)
-                carry(by, other, what);
-    }
+void relay::apply_conditions(std::uint64_t tag, const link_conditions &before, const link_conditions &now) {
+    proxied_connection &of = *connections_.at(tag);
+    if (now.resets)
+        return finish(tag, true, true);
+    if (now.half_open && !before.half_open)
+        kill_far_end(of);
+    if (before.half_open && !now.half_open && of.far_end_dead)
+        return finish(tag, true, false);
+    if (of.far_end_dead)
+        return update_interest(of);
+    resume(of, before, now);
 }
 
-void datagram_relay::carry(index from, index to, const std::string &what) {
-    const direction_conditions conditions = table_.datagram_conditions(from, to);
-    if (conditions.dropped || random_.happens(conditions.loss_share)) {
-        ++counters_.dropped;
-        return;
-    }
-    const bool twice = random_.happens(conditions.duplicate_share),
-               behind = random_.happens(conditions.reorder_share);
-    counters_.duplicated += twice;
-    counters_.reordered += behind;
-    for (int i = 0; i < (twice ? 2 : 1); ++i) {
-        const double wait = conditions.delay +
-                            (conditions.jitter > 0 ? conditions.jitter * random_.part() : 0) +
-                            (behind ? reorder_delay : 0);
-        if (wait <= 0)
-            deliver(from, to, what);
-        else
-            loop_.clock.after(wait, [this, here = std::weak_ptr(lifetime_), from, to, what] {
-                if (!here.expired())
-                    deliver(from, to, what);
-            });
+// The far end gets a reset; what was on its way is gone, and the near end hears
+// of nothing.
+void relay::kill_far_end(proxied_connection &of) {
+    of.far_end_dead = true;
+    if (of.far.watched)
+        loop_.forget(of.far.socket.get());
+    of.far.watched = false;
+    of.far.gone = true;
+    reset_on_close(of.far.socket);
+    of.far.socket.close();
+    for (auto &each : of.streams) {
+        each.chunks.clear();
+        each.queued_bytes = 0;
     }
+    of.streams[static_cast<int>(direction::backward)].sender_ended = true; // nothing comes from it any more
 }
 
-void datagram_relay::deliver(index from, index to, const std::string &what) {
-    address target = proxies_[to];
-    const address source = address_of(to, from);
-    iovec part{const_cast<char *>(what.data()), what.size()};
-    alignas(cmsghdr) std::array<char, CMSG_SPACE(sizeof(in_pktinfo))> extra{};
-    msghdr message{};
-    message.msg_name = &target.where;
-    message.msg_namelen = target.size;
-    message.msg_iov = &part;
-    message.msg_iovlen = 1;
-    message.msg_control = extra.data();
-    message.msg_controllen = extra.size();
-    cmsghdr *const head = CMSG_FIRSTHDR(&message);
-    head->cmsg_level = IPPROTO_IP;
-    head->cmsg_type = IP_PKTINFO;
-    head->cmsg_len = CMSG_LEN(sizeof(in_pktinfo));
-    in_pktinfo info{};
-    info.ipi_spec_dst = reinterpret_cast<const sockaddr_in *>(&source.where)->sin_addr;
-    std::memcpy(CMSG_DATA(head), &info, sizeof info);
-    if (::sendmsg(socket_.get(), &message, MSG_DONTWAIT | MSG_NOSIGNAL) >= 0)
-        ++counters_.delivered;
+// Goes on with what was queued. A sender that has ended while its direction was
+// dropped takes it with it.
+void relay::resume(proxied_connection &of, const link_conditions &before, const link_conditions &now) {
+    const auto tag = of.tag;
+    const auto sender_lost = [&](direction to, const side &from) {
+        const bool reopened = before.at(to).dropped && !now.at(to).dropped;
+        return reopened && (from.gone || peer_has_ended(from.socket));
+    };
+    const bool near_lost = sender_lost(direction::forward, of.near);
+    const bool far_lost = sender_lost(direction::backward, of.far);
+    if (near_lost || far_lost)
+        return finish(tag, far_lost, near_lost);
+    write_to_receiver(tag, direction::forward);
+    write_to_receiver(tag, direction::backward);
+    if (connections_.contains(tag))
+        update_interest(of);
 }
 
 } // namespace harrierpass::testbed
--- a/tests/testbed/many_test.cpp
+++ b/tests/testbed/many_test.cpp
@@ -6,6 +6,7 @@
 #include "support/process_helpers.hpp"
 #include "support/testbed_helpers.hpp"
 
+#include "testbed/links/datagram_relay.hpp"
 #include "testbed/links/relay.hpp"
 #include "testbed/processes/fleet_ports.hpp"
 #include "testbed/runs/socket_run.hpp"
