--- a/src/testbed/links/virtual_links.hpp
+++ b/src/testbed/links/virtual_links.hpp
@@ -10,13 +10,16 @@
 
 namespace harrierpass::testbed {
 
+// Carries messages over links in virtual time, and holds those of a direction that is dropped. `clock` and
+// `table` outlive it.
 class virtual_links {
 public:
+    // `seed`: of jitter.
     virtual_links(timeline &clock, const link_table &table, std::uint32_t seed)
         : clock_(clock), table_(table), random_(seed) {}
 
-    // Brings a message over: after `way` s and what the link adds. While its direction is dropped it is held;
-    // when that is over, `lives` tells whether its sender's connection still stands (none: it does).
+    // Calls `on_arrival` after `latency` s and what the link adds. While the direction is dropped the message
+    // is queued; once that is over it is sent if `sender_connected` says so (empty: always).
     void carry(const link_id &on, direction to, double latency, std::size_t bytes,
                std::function<void()> on_arrival, std::function<bool()> sender_connected = {}) {
         if (!table_.contains(on))
@@ -33,7 +36,7 @@
     }
     bool can_connect(const link_id &which) const { return table_.conditions(which).can_connect(); }
     const link_conditions &conditions(const link_id &which) const { return table_.conditions(which); }
-    // For the table: what was held goes on.
+    // For the table's on_change: sends what was queued while a direction was dropped.
     void on_conditions_changed(const link_id &which, const link_conditions &before,
                                const link_conditions &now) {
         for (const direction to : {direction::forward, direction::backward}) {
@@ -48,6 +51,7 @@
     }
 
 private:
+    // A message that waits for its direction to be up again.
     struct queued_message {
         double latency;
         std::size_t bytes;
--- a/src/testbed/loop/channel.hpp
+++ b/src/testbed/loop/channel.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// One HTTP connection in a loop, either side of it: whole messages come out, text goes in, nothing blocks. A
-// connection at rest holds no buffer.
+// One HTTP/1.1 connection in a loop, of a client or a server: reads whole messages, writes text, never
+// blocks. An idle connection holds no buffer. Used from the loop's thread only.
 #pragma once
 
 #include "net/http.hpp"
@@ -12,10 +12,13 @@
 
 namespace harrierpass::testbed {
 
+// Owned by shared_ptr, as its callbacks may end it.
 class channel : public std::enable_shared_from_this<channel> {
 public:
+    // How the other side ended it; `failed`: the connection did not come up.
     enum class ending { closed, reset, malformed, failed };
 
+    // `reads`: requests on a server's side, responses on a client's.
     channel(loop &in, tcp_socket socket, http_reader::message_kind reads)
         : loop_(in), socket_(std::move(socket)), reads_(reads) {}
     ~channel();
@@ -24,22 +27,23 @@
 
     // Called from the loop; each may end the channel.
     std::function<void(const std::shared_ptr<channel> &, const http_reader &)> on_message;
-    std::function<void(const std::shared_ptr<channel> &, ending)> on_end; // the other side's doing; once
-    std::function<void(const std::shared_ptr<channel> &)> on_peer_closed_while_frozen; // while it stands
+    std::function<void(const std::shared_ptr<channel> &, ending)> on_end; // by the other side; once
+    std::function<void(const std::shared_ptr<channel> &)> on_peer_closed_while_frozen;
 
-    void start(bool connecting); // watches; connecting: until it is up, what is sent waits
+    // Watches the socket. `connecting`: it is not connected yet, and what is sent waits for that.
+    void start(bool connecting);
     void send(std::string_view text);
-    // Neither reads nor writes, as a machine that is gone. That the other side has closed meanwhile is told
-    // by on_gone; the connection ends, with what waits in it unread, when this stands no longer.
+    // While frozen it neither reads nor writes, like a machine that is gone. If the other side closes
+    // meanwhile, on_peer_closed_while_frozen is called; the connection ends, unread, once it is unfrozen.
     void set_frozen(bool frozen);
-    void end(bool reset); // without on_end
+    void end(bool reset); // on_end is not called
     bool open() const { return static_cast<bool>(socket_); }
     bool has_partial_message() const { return partial_message_; } // part of a message has come
 
-    // The owner's: what it knows the connection by, and when it was last used, s.
+    // The owner's: its name for the connection, and when it was last used, s.
     std::uint64_t tag = 0;
     double used = 0;
-    std::uint64_t messages = 0; // that came
+    std::uint64_t messages = 0; // that were read whole
 
 private:
     void on_events(std::uint32_t events);
@@ -57,11 +61,11 @@
     bool connecting_ = false, frozen_ = false, partial_message_ = false, peer_gone_ = false;
 };
 
-// An IPv4 address by its number, as 0x7f000001, and a port; the port of one.
+// An IPv4 address from its number in host order (0x7f000001) and a port; the port of one.
 address ipv4(std::uint32_t where, int port);
 int port_of(const address &of);
 
-// Starts to connect; without a socket where none can be had.
+// Starts to connect without waiting; empty where there are no descriptors or no route.
 tcp_socket start_connecting(const address &to);
 
 } // namespace harrierpass::testbed
--- a/src/testbed/loop/loop.hpp
+++ b/src/testbed/loop/loop.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// One thread that waits for many sockets and for what is due: the laboratory's side of a run on sockets. Its
-// timeline follows the machine's clock (Unix time), so that the same models run in it as in virtual time.
+// One thread that waits for many sockets and for timers: the testbed's side of a run on sockets. Its timeline
+// follows the machine's clock (Unix time), so that the same models run in it as in virtual time.
 #pragma once
 
 #include "testbed/model/timeline.hpp"
@@ -10,6 +10,7 @@
 
 namespace harrierpass::testbed {
 
+// Single-threaded: all calls come from the thread that runs it.
 class loop {
 public:
     // `offset`: of a loop in another process whose clock this one is to agree with; 0: of its own.
@@ -19,20 +20,21 @@
     loop(const loop &) = delete;
     loop &operator=(const loop &) = delete;
 
+    // Stands still while events are handled; exact() is the machine's time at the moment of the call, s.
     timeline clock;
-    double exact() const {
-        return unix_now();
-    } // s; the clock's own stands while what has come is worked through
+    double exact() const { return unix_now(); }
 
-    // `what` is called with the epoll events that came. One entry a descriptor.
+    // Calls `what` with the epoll events that occurred. One entry a descriptor.
     void watch(int fd, std::uint32_t events, std::function<void(std::uint32_t)> what);
     void change(int fd, std::uint32_t events);
-    void forget(int fd); // also within a call; a call for it that is due then is left out
+    void forget(int fd); // allowed within a callback; a pending callback for it is dropped
 
+    // Handles events and timers until `over` returns true.
     void run(const std::function<bool()> &over);
 
 private:
     double unix_now() const;
+    // `serial` tells a descriptor from an earlier one of the same number.
     struct entry {
         std::function<void(std::uint32_t)> what;
         std::uint64_t serial;
--- a/src/testbed/processes/list_port.hpp
+++ b/src/testbed/processes/list_port.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// The list service on sockets: an address for each proxy, so that it is known who was told what; behind all
-// of them one service (model/list_service.hpp).
+// The list service on sockets: a listener for each proxy, so that it is known which proxy was sent what;
+// behind all of them is one service (model/list_service.hpp).
 #pragma once
 
 #include "testbed/loop/channel.hpp"
@@ -11,20 +11,24 @@
 
 namespace harrierpass::testbed {
 
-// Where each server is, for one proxy: directly, or over a link.
+// HOST:PORT at which a proxy finds a server: its own, or its link's.
 using server_address_lookup = std::function<std::string(index proxy, index server)>;
 
+// The listener for one proxy and its connections. All references outlive it.
 class list_port {
 public:
+    // `checker` is notified of what the proxy was sent. Throws std::system_error where `at` is taken.
     list_port(loop &in, const experiment &given, member_list &list, list_service &service, witness &checker,
               index proxy, const address &at, const server_address_lookup &where);
     ~list_port();
     list_port(const list_port &) = delete;
     list_port &operator=(const list_port &) = delete;
     std::string at() const { return to_text(at_); }
+    // An entry of the endpoint list as JSON. `host`: HOST:PORT.
     static std::string entry(const experiment &of, const member_list::member &each, bool is_origin,
                              const std::string &host);
-    std::function<void(list_poll as, std::size_t bytes)> on_poll; // what came of one
+    // A poll was answered, with so many bytes.
+    std::function<void(list_poll as, std::size_t bytes)> on_poll;
 
 private:
     void accept();
--- a/src/testbed/processes/server_port.hpp
+++ b/src/testbed/processes/server_port.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 // A cache server of a fleet, or the origin in aside mode, on a socket. The model decides what is answered and
-// when; this gives it connections, and takes these away as a process or a machine that dies would.
+// when; this gives it connections, and closes them as a process or a machine that dies would.
 #pragma once
 
 #include "testbed/loop/channel.hpp"
@@ -10,20 +10,22 @@
 
 namespace harrierpass::testbed {
 
-// One server's listener and connections.
+// One server's listener and connections. `in` and `of` outlive it.
 class server_port {
 public:
-    // `number` is the fleet's size for the origin.
+    // `number`: the server's, or the fleet's size for the origin. Throws std::system_error where `at` is
+    // taken.
     server_port(loop &in, fleet &of, index number, const address &at);
     ~server_port();
     server_port(const server_port &) = delete;
     server_port &operator=(const server_port &) = delete;
     std::string at() const { return to_text(at_); }
-    void update_from_model();                                     // the model's state has changed
-    std::function<void(index server, bool begins)> on_connection; // one came, or is over
+    void update_from_model(); // its state has changed: up, silent or another incarnation
+    std::function<void(index server, bool begins)> on_connection; // one was accepted, or is over
 
 private:
-    struct work { // in hand on one connection
+    // The attempt in flight on a connection.
+    struct work {
         operation op;
         index attempt;
     };
--- a/src/testbed/processes/worker_process.hpp
+++ b/src/testbed/processes/worker_process.hpp
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
-// Parts of a run's world that are processes of their own: servers, and the list service. The run speaks with
-// each over a pair of sockets, in messages of one size. A worker writes what it sees before it does anything
-// of it, so that a kill takes nothing with it that another process could have noticed.
+// Worker processes of a run: servers, or the list service, in a process of their own. The run talks to each
+// over a pair of sockets, in messages of one size. A worker sends what it observes before it acts on it, so
+// that a kill loses nothing that another process could have noticed.
 //
-//   the worker says      the run says
-//   event   what it saw       fault    a model's, as the script has it
-//   beat    its clock          fetched, written   what the origin made of it
-//   fetch, write  of the origin    void_copy   a key that was written
-//   connection, call   for the figures    load, publish, silent   the list
-//   ready
+//   the worker sends                              the run sends
+//   event             what it observed            fault               of a server's model
+//   heartbeat         its clock                   fetched, written    the origin's response
+//   fetch, write      a request to the origin     void_copy           a key that was written
+//   connection, poll  for the metrics             load, publish       an entry of the list
+//   ready             it is up                    silent              the list service's silence
 #pragma once
 
 #include "testbed/loop/loop.hpp"
@@ -21,6 +21,8 @@
 
 namespace harrierpass::testbed {
 
+// `small`, `a`, `b`, `x` and the rest are the arguments of the kind. The layout is that of one build: both
+// ends are the same program.
 struct worker_message {
     enum class kind : std::uint8_t {
         event,
@@ -46,19 +48,19 @@
     observed_event event;
 };
 
-// Either end of the pair.
+// Either end of the pair of sockets.
 class worker_connection {
 public:
-    // `waits`: a message is with the system when send() returns; else what there is no room for is kept.
+    // `blocks`: send() returns once the system has the message; else what does not fit is queued.
     worker_connection(loop &in, tcp_socket socket, bool blocks);
     ~worker_connection();
     worker_connection(const worker_connection &) = delete;
     worker_connection &operator=(const worker_connection &) = delete;
     void send(const worker_message &what);
-    void drain(); // reads what has come, to the end if the other side is gone
+    void drain(); // reads all that has arrived, to the end if the other side is gone
     bool open() const { return static_cast<bool>(socket_); }
     std::function<void(const worker_message &)> on_message;
-    std::function<void()> on_end;
+    std::function<void()> on_end; // the other side has closed
 
 private:
     void on_events(std::uint32_t events);
@@ -69,20 +71,21 @@
     std::string in_, out_;
 };
 
-// The run's side of one worker.
+// The run's side of one worker. Passes its events to the merge; `in` and `events` outlive it.
 class worker_process {
 public:
+    // `command`: program and arguments. `log`: file for its standard error.
     worker_process(loop &in, event_merge &events, std::vector<std::string> command, const std::string &log);
     void start();
-    void kill();            // outright; what it had written is heard first
+    void kill();            // SIGKILL; what it had sent is read first
     void stop(bool begins); // SIGSTOP, SIGCONT
-    void end();             // told to; it is waited for by runs()
+    void end();             // SIGTERM; over once runs() is false
     bool runs() const { return process_.runs(); }
     bool ready() const { return ready_; }
     void send(const worker_message &what);
-    double last() const { return last_; } // of its events, s
+    double last() const { return last_; } // time of its last event, s
 
-    std::function<void(const worker_message &)> on_message; // but beats
+    std::function<void(const worker_message &)> on_message; // all but heartbeats and ready
     std::function<void()> on_ready, on_death;               // death: not by kill() or end()
 
 private:
@@ -91,13 +94,14 @@
     event_merge &events_;
     child_process process_;
     std::unique_ptr<worker_connection> link_;
-    std::vector<worker_message> unsent_; // said before it was ready
+    std::vector<worker_message> unsent_; // sent once it is ready
     std::size_t source_;
     double last_ = 0;
     bool ready_ = false, ends_ = false;
 };
 
-// What the worker's program does, until the run is gone or says so. `path`: a file that the run wrote.
+// The worker's main function: serves until the run closes its end or SIGTERM. `path`: the setup that the run
+// wrote. Returns the exit code; throws where the setup cannot be used.
 int run_worker_process(const std::string &path);
 
 } // namespace harrierpass::testbed
--- a/src/testbed/verification/event_merge.hpp
+++ b/src/testbed/verification/event_merge.hpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
-// What several processes see, put into one order before it is judged. Each event has the time at which its
-// process saw it, by the machine's monotonic clock; it is judged once every source has been heard of at a
-// later time or is gone, so that one that arrives late still takes its place. A source that stands still
-// holds the judging up, not the run.
+// Merges the events that several processes observe into one order before the rule checker gets them. Each
+// event has the time at which its process observed it, by the machine's monotonic clock; it is delivered once
+// every source has advanced beyond that time or is closed, so that one that arrives late still takes its
+// place. A source that does not advance delays delivery, not the run.
 #pragma once
 
 #include "testbed/model/observer.hpp"
@@ -14,8 +14,8 @@
 
 namespace harrierpass::testbed {
 
-// One event as it is written down and sent: of a fixed size, so that what a killed process had written is
-// whole or is not there. Each kind uses the fields as witness has them.
+// One event as it is sent between processes: of a fixed size, so that the last one of a killed process is
+// whole or absent. Each kind carries the arguments of the observer's function of its name.
 struct observed_event {
     enum class kind : std::uint8_t {
         asked,
@@ -38,17 +38,18 @@
     std::uint8_t small = 0, flag = 0;
     index a = 0, b = 0, c = 0;
     operation op = 0;
-    double x = 0;    // s: an end, or when it was sent
-    double when = 0; // s
+    double x = 0;    // s: a deadline, or when it was sent
+    double when = 0; // s, when it was observed
 };
 
+// Calls the observer's function for an event.
 void replay_event(const observed_event &event, witness &to);
 
-// Takes down what a process sees, and hands each event on at once.
+// Turns what a process observes into events and passes each on at once.
 class event_recorder : public witness {
 public:
-    // `now`: the machine's time at this very moment. A loop's own, which stands while it works through what
-    // has come, would put an answer to another process's message before that message.
+    // `now`: the machine's time at the moment of the call. The loop's clock stands still while it handles
+    // what has arrived, and would put a response to another process's message before that message.
     event_recorder(std::function<double()> now, std::function<void(const observed_event &)> to)
         : now_(std::move(now)), to_(std::move(to)) {}
     void asked(operation op, index attempt, index proxy, index use_case, double end) override;
@@ -73,25 +74,25 @@
     std::function<void(const observed_event &)> to_;
 };
 
+// Used from one thread; `clock` and `checker` outlive it.
 class event_merge {
 public:
-    // `clock` is the judge's own, and is moved to each event's time.
+    // `clock` is the rule checker's own, and is moved to the time of each event.
     event_merge(timeline &clock, witness &checker) : clock_(clock), checker_(checker) {}
 
     std::size_t add_source();
-    void add(std::size_t source, const observed_event &event); // its time is news of the source, too
-    void advance_source(std::size_t source, double when);      // it has seen nothing else up to then
-    void close_source(std::size_t source);                     // nothing more comes
-    void reopen_source(std::size_t source, double when);       // but does, from then on
-    void deliver_ready();                                      // all that has its place by now
+    void add(std::size_t source, const observed_event &event); // advances the source to its time
+    void advance_source(std::size_t source, double when);      // it has observed nothing else up to `when`
+    void close_source(std::size_t source);                     // it sends nothing more
+    void reopen_source(std::size_t source, double when);       // it sends events again, from `when` on
+    void deliver_ready();                                      // all whose place in the order is known
     std::size_t waiting() const { return events_.size(); }
 
 private:
     timeline &clock_;
     witness &checker_;
-    std::vector<double> source_times_; // by source
-    // By time, then source, then the order in which a source told it: equal times do not hang on the way
-    // here.
+    std::vector<double> source_times_; // by source: up to when it is known, s
+    // By time, then source, then arrival: the order of equal times does not depend on how they got here.
     std::map<std::tuple<double, std::size_t, std::uint64_t>, observed_event> events_;
     std::uint64_t order_ = 0;
 };
--- a/src/testbed/verification/fleet_metrics.hpp
+++ b/src/testbed/verification/fleet_metrics.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// Figures of a whole fleet that no one process could tell: what all proxies together do to each server and to
-// the list service. Told by the stand-ins; in virtual time by the links' ends.
+// Metrics of a whole fleet that no single process knows: the load that all proxies together put on each
+// server and on the list service. Recorded by the stand-ins; in virtual time by the ends of links.
 #pragma once
 
 #include "testbed/model/experiment.hpp"
@@ -13,28 +13,32 @@
 
 namespace harrierpass::testbed {
 
+// How the list service answered a poll.
 enum class list_poll : std::uint8_t { snapshot, watch, rejected };
 
+// `clock` and `given` outlive it.
 class fleet_metrics {
 public:
+    // `servers`: their number, with those that join later.
     fleet_metrics(const timeline &clock, const experiment &given, index servers);
 
-    void on_load_started(); // the load does
-    // A connection to a server. `there`: somebody is.
+    // Times count from here; what came before counts as of second 0.
+    void on_load_started();
+    // A connection to a server was attempted (`there`: its process runs), opened, closed.
     void on_connect(index server, bool there);
     void on_connection_opened(index server);
     void on_connection_closed(index server);
-    void on_attempt(index server);                 // came to a server
-    void on_sent_to_dead(bool probe);              // an execution that found nobody, or a probe
-    void on_poll(list_poll as, std::size_t bytes); // what the list service made of a call
-    void on_request_settled(index proxy, double worth, double asked); // a client's query, settled
+    void on_attempt(index server);                 // a server received an execution
+    void on_sent_to_dead(bool probe);              // an execution, or a health check, at a dead server
+    void on_poll(list_poll as, std::size_t bytes); // a poll of the list was answered
+    void on_request_settled(index proxy, double worth, double asked); // a client's request is over
 
-    // By name, in the order in which reports have them.
+    // Values by name, in the order of reports. `queries`: requests of the run, for rates.
     std::vector<std::pair<std::string, double>> all(std::uint64_t queries) const;
     std::vector<std::pair<std::string, std::vector<double>>> series() const; // by second
 
 private:
-    using by_second = std::vector<std::pair<double, double>>; // served, asked
+    using by_second = std::vector<std::pair<double, double>>; // priority weight served, asked for
     std::size_t second() const;
     void add(by_second &to, double worth, double asked) const;
     static double share(const by_second &of);
@@ -48,12 +52,13 @@
     std::uint64_t max_open_ = 0, dead_dials_ = 0, dead_sends_ = 0, dead_probes_ = 0;
     std::uint64_t snapshots_ = 0, watches_ = 0, rejected_polls_ = 0, list_bytes_ = 0;
     std::vector<by_second> zones_; // by zone
-    // Of proxies that a fault of a process or a partition names, and of the others; where there are such.
+    // Served by proxies that a fault of a process or a partition names, and by the others; empty where all
+    // or none are named.
     std::vector<bool> faulted_; // by proxy
     by_second faulted_served_, other_served_;
 };
 
-// The most of these times, in their order, that lie within any `width` s.
+// The largest number of these ascending times that lie within any `width` s.
 std::size_t max_within(const std::vector<double> &times, double width);
 
 } // namespace harrierpass::testbed
--- a/src/testbed/verification/report.hpp
+++ b/src/testbed/verification/report.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// Results: as JSON lines that hold the seed, the commit and a hash of the experiment; as text for people; and
-// compared in pairs, with what is noise told from what is not.
+// Results as JSON lines with seed, commit and a hash of the experiment; as text; and compared in pairs, with
+// real differences told from noise.
 #pragma once
 
 #include "testbed/verification/result.hpp"
@@ -10,6 +10,7 @@
 
 namespace harrierpass::testbed {
 
+// A result as read from a file.
 struct stored_result {
     run_result run;
     std::string commit, hash; // of the program; of the experiment's text
@@ -17,16 +18,17 @@
 
 std::string commit();                                             // of this build
 std::string to_json(const run_result &run, const experiment &of); // one line, without its end
-// Throws bad_experiment with file and line.
+// Reads a file of JSON lines. Throws bad_experiment with file and line.
 std::vector<stored_result> read_results(const std::string &path);
 
+// `histories`: with those of broken rules.
 void print(std::ostream &to, const run_result &run, bool histories);
 
-// Figures of the whole fleet as a table in Markdown, medians over the seeds (rules broken: their sum), a
-// column an experiment.
+// Metrics of the whole fleet as a table in Markdown: medians over the seeds (rules broken: their sum), one
+// column for each experiment.
 std::string fleet_table(const std::vector<run_result> &runs);
 
-// One variant against another, on the seeds that both have.
+// One variant compared with another, on the seeds that both have.
 struct comparison {
     std::string experiment, base, other;
     std::size_t pairs = 0;
@@ -34,8 +36,10 @@
     double base_median = 0, other_median = 0;        // of service
     double base_spread = 0, other_spread = 0;        // largest less smallest
     double difference = 0, noise = 0;                // mean of the pairs'; half of its 95% interval
+    // Whether the difference is larger than the noise.
     bool differs() const { return pairs >= 2 && std::fabs(difference) > noise; }
 };
+// Compares each variant with the first one of its experiment.
 std::vector<comparison> compare(const std::vector<run_result> &runs);
 void print(std::ostream &to, const std::vector<comparison> &all);
 
--- a/src/testbed/verification/result.hpp
+++ b/src/testbed/verification/result.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// What a run came to, as reports, results and plots have it.
+// The result of a run, for reports, result files and plots.
 #pragma once
 
 #include "testbed/model/experiment.hpp"
@@ -9,11 +9,12 @@
 
 namespace harrierpass::testbed {
 
-// What is shaded in a picture: a fault.
+// A fault, as the shaded part of a plot.
 struct shade {
     std::string name;
     double at = 0, lasts = 0; // s; 0: to the end
 };
+// The faults of an experiment, of processes and of links.
 inline std::vector<shade> shades_of(const experiment &of) {
     std::vector<shade> made;
     for (const auto &each : of.faults)
@@ -23,12 +24,12 @@
     return made;
 }
 
-// What a run came to; a line of JSON in the results.
+// One line of JSON in the result files (report.cpp maps the names).
 struct run_result {
     std::string experiment, variant, mode; // mode: "virtual" or "sockets"
     std::uint32_t seed = 0;
-    double length = 0, wall = 0; // s; wall: what it took
-    double service = 0;          // importance served in time over importance asked for
+    double length = 0, wall = 0; // s; wall: time that it took
+    double service = 0;          // priority weight served in time over that of all requests
     std::uint64_t queries = 0, completed = 0, late = 0, rejected = 0, aborted = 0, none = 0, retries = 0;
     std::uint64_t executions = 0, fetches = 0, events = 0, trace = 0;
     double p50 = 0, p90 = 0, p99 = 0, p999 = 0;                     // s, of completed queries
@@ -36,19 +37,19 @@
     std::vector<std::pair<std::string, std::uint64_t>> rules;       // broken, by name
     std::vector<std::pair<std::string, std::uint64_t>> proxies;     // their counts
     std::vector<std::pair<std::string, double>> use_cases, tenants; // service by name
-    std::vector<std::pair<std::string, double>> fleet;              // figures of the whole fleet, by name
+    std::vector<std::pair<std::string, double>> fleet;              // fleet_metrics::all
     std::vector<std::pair<std::string, std::vector<double>>>
         series;                              // by second of the run; NaN: nothing there
     std::vector<double> proxy_cpu, proxy_mb; // s, MB at its end: of each real proxy, by number
-    std::vector<std::string> histories;
-    std::string void_because; // not empty: the run does not count
+    std::vector<std::string> histories;      // of the first requests for which a rule was broken
+    std::string void_because;                // not empty: the run does not count
 
-    // By part of the run, for plots.
+    // By time slot of the run, for plots.
     double slot_length = 0;
     std::vector<double> slot_service, slot_p50, slot_p99, slot_rate, slot_fetches;
-    std::vector<std::vector<double>> in_flight; // by server: mean in hand by slot
+    std::vector<std::vector<double>> in_flight; // by server, slot: mean of attempts in flight
 
-    std::uint64_t broken() const;
+    std::uint64_t broken() const; // rules, in all
 };
 
 } // namespace harrierpass::testbed
