--- a/src/testbed/links/conditions.cpp
+++ b/src/testbed/links/conditions.cpp
@@ -18,11 +18,11 @@
 } // namespace
 
 link_table::link_table(const experiment &given, index servers, std::uint32_t seed)
-    : given_(given), servers_(servers), touched_(given.links.size()) {
+    : given_(given), servers_(servers), touched_(given.link_faults.size()) {
     const index proxies = given.proxies.count;
-    for (std::size_t i = 0; i < given.links.size(); ++i) {
-        const auto &fault = given.links[i];
-        chance from(seed + 31 * static_cast<std::uint32_t>(i + 1));
+    for (std::size_t i = 0; i < given.link_faults.size(); ++i) {
+        const auto &fault = given.link_faults[i];
+        random_generator from(seed + 31 * static_cast<std::uint32_t>(i + 1));
         for (const link_kind kind : kinds) {
             if (!fault.between.empty() &&
                 std::find(fault.between.begin(), fault.between.end(), kind) == fault.between.end())
@@ -49,7 +49,7 @@
     return (static_cast<std::uint64_t>(which.kind) * most_ends + which.near) * most_ends + which.far;
 }
 
-bool link_table::touches(const link_fault_spec &fault, const link_id &which) const {
+bool link_table::touches(const link_fault_settings &fault, const link_id &which) const {
     const auto proxy_in = [&](index one) {
         return fault.kind == link_fault_kind::partition ? has(fault.proxies, one)
                                                         : fault.proxies.empty() || has(fault.proxies, one);
@@ -116,7 +116,7 @@
 link_now link_table::worked_out(const entry &of) const {
     link_now made;
     for (const std::size_t each : of.active) {
-        const auto &fault = given_.links[each];
+        const auto &fault = given_.link_faults[each];
         const auto add = [&](way_now &to) {
             const bool drops = fault.kind == link_fault_kind::drop ||
                                fault.kind == link_fault_kind::one_way ||
@@ -124,15 +124,15 @@
             to.dropped = to.dropped || drops;
             to.delay += fault.delay;
             to.jitter += fault.jitter;
-            if (fault.pace > 0)
-                to.pace = to.pace > 0 ? std::min(to.pace, fault.pace) : fault.pace;
-            to.lost = std::max(to.lost, fault.lost);
-            to.doubled = std::max(to.doubled, fault.doubled);
-            to.reordered = std::max(to.reordered, fault.reordered);
+            if (fault.bytes_per_second > 0)
+                to.pace = to.pace > 0 ? std::min(to.pace, fault.bytes_per_second) : fault.bytes_per_second;
+            to.lost = std::max(to.lost, fault.loss_share);
+            to.doubled = std::max(to.doubled, fault.duplicate_share);
+            to.reordered = std::max(to.reordered, fault.reorder_share);
         };
-        if (fault.there)
+        if (fault.to_far_end)
             add(made.there);
-        if (fault.back)
+        if (fault.to_near_end)
             add(made.back);
         made.resets = made.resets || fault.kind == link_fault_kind::reset;
         made.half_open = made.half_open || fault.kind == link_fault_kind::half_open;
--- a/src/testbed/links/conditions.hpp
+++ b/src/testbed/links/conditions.hpp
@@ -64,7 +64,7 @@
         std::vector<std::size_t> active; // faults that hold, each as often as it began
     };
     std::uint64_t number(const link_id &which) const;
-    bool touches(const link_fault_spec &fault, const link_id &which) const;
+    bool touches(const link_fault_settings &fault, const link_id &which) const;
     link_now worked_out(const entry &of) const;
 
     const experiment &given_;
--- a/src/testbed/links/relay.cpp
+++ b/src/testbed/links/relay.cpp
@@ -230,7 +230,7 @@
         const way_now &way = table_.now(of.of).at(to);
         const double now = loop_.clock.now();
         const double wire = way.pace > 0 ? static_cast<double>(got) / way.pace : 0;
-        double due = now + way.delay + (way.jitter > 0 ? way.jitter * chance_.part() : 0);
+        double due = now + way.delay + (way.jitter > 0 ? way.jitter * chance_.uniform() : 0);
         due = std::max({due, into.last_due + wire, now + wire}); // in its order, at its pace
         into.last_due = due;
         if (got == 0)
@@ -441,7 +441,7 @@
     counts_.reordered += behind;
     for (int i = 0; i < (twice ? 2 : 1); ++i) {
         const double wait =
-            way.delay + (way.jitter > 0 ? way.jitter * chance_.part() : 0) + (behind ? reorder_by : 0);
+            way.delay + (way.jitter > 0 ? way.jitter * chance_.uniform() : 0) + (behind ? reorder_by : 0);
         if (wait <= 0)
             deliver(from, to, what);
         else
--- a/src/testbed/links/relay.hpp
+++ b/src/testbed/links/relay.hpp
@@ -88,7 +88,7 @@
 
     loop &loop_;
     const link_table &table_;
-    chance chance_;
+    random_generator chance_;
     std::map<std::uint64_t, link> links_;
     std::map<std::uint64_t, std::unique_ptr<pair>> pairs_; // by tag
     std::map<std::pair<link_kind, index>, far_state> far_;
@@ -122,7 +122,7 @@
     loop &loop_;
     const link_table &table_;
     const std::vector<address> proxies_;
-    chance chance_;
+    random_generator chance_;
     tcp_socket socket_;
     int port_ = 0;
     counts counts_;
--- a/src/testbed/links/virtual_links.hpp
+++ b/src/testbed/links/virtual_links.hpp
@@ -26,7 +26,7 @@
             held_[key(on, to)].push_back({way, bytes, std::move(then), std::move(lives)});
             return;
         }
-        const double jitter = now.jitter > 0 ? now.jitter * chance_.part() : 0;
+        const double jitter = now.jitter > 0 ? now.jitter * chance_.uniform() : 0;
         const double wire = now.pace > 0 ? static_cast<double>(bytes) / now.pace : 0;
         clock_.after(way + now.delay + jitter + wire, std::move(then));
     }
@@ -57,7 +57,7 @@
 
     timeline &clock_;
     const link_table &table_;
-    chance chance_;
+    random_generator chance_;
     std::map<place, std::vector<held>> held_;
 };
 
--- a/src/testbed/load/client_port.cpp
+++ b/src/testbed/load/client_port.cpp
@@ -8,7 +8,7 @@
 
 namespace harrierpass::testbed {
 
-client_port::client_port(loop &in, const experiment &given, clients &people, witness &judge, index proxies)
+client_port::client_port(loop &in, const experiment &given, clients &people, observer &judge, index proxies)
     : loop_(in), given_(given), people_(people), judge_(judge), proxies_(proxies) {
     people_.there = [this](index proxy) { return proxies_.at(proxy).at.has_value() || may_use_open(proxy); };
     people_.send = [this](const asking &query) { put(query, false); };
@@ -54,7 +54,7 @@
     text.append("\r\nX-Deadline: ").append(std::to_string(static_cast<long>(left * 1e6))).append("u\r\n");
     if (query.attempt > 0)
         text.append("X-Retry: 1\r\n");
-    if (use.decides.effect == effect_kind::deduplicated)
+    if (use.routing.effect == effect_kind::deduplicated)
         text.append("Idempotency-Key: k").append(std::to_string(query.op)).append("\r\n");
     const std::string body = query.write ? "by " + id : "";
     if (query.write)
@@ -75,7 +75,7 @@
         tcp_socket socket = dial_soon(*to.at);
         if (!socket) { // for want of descriptors here: the proxy has nothing to do with it
             loop_.clock.after(0, [this, query] {
-                judge_.untaken(query.op, query.attempt);
+                judge_.request_not_accepted(query.op, query.attempt);
                 people_.answered(query.op, query.attempt, reply::cut, 0, false);
             });
             return;
@@ -99,7 +99,7 @@
     auto &of = open_.at(on->tag);
     const auto &head = answer.head();
     if (!of.waits) { // more than was asked for
-        judge_.answered(of.last.op, of.last.attempt, reply::completed, true);
+        judge_.response_received(of.last.op, of.last.attempt, reply::completed, true);
         return drop(on);
     }
     const asking query = of.waits->of;
@@ -117,7 +117,7 @@
     const bool keeps = head.keeps_alive() && answer.pipelined_bytes().empty();
     // Guards the referee's sight: a second answer may come with the first in one read.
     if (!answer.pipelined_bytes().empty())
-        judge_.answered(query.op, query.attempt, how, fits);
+        judge_.response_received(query.op, query.attempt, how, fits);
     if (keeps)
         proxies_[of.proxy].idle.push_back(on);
     else
@@ -144,7 +144,7 @@
         return put(query, true);
     // Its proxy has gone: the client asks elsewhere, and lost it is only if it had been read.
     if (crossed || how == channel::ending::failed)
-        judge_.untaken(query.op, query.attempt);
+        judge_.request_not_accepted(query.op, query.attempt);
     people_.answered(query.op, query.attempt, reply::cut, 0, false);
 }
 
--- a/src/testbed/load/client_port.hpp
+++ b/src/testbed/load/client_port.hpp
@@ -10,7 +10,7 @@
 
 class client_port {
 public:
-    client_port(loop &in, const experiment &given, clients &people, witness &judge, index proxies);
+    client_port(loop &in, const experiment &given, clients &people, observer &judge, index proxies);
 
     // Where a proxy is, from now on; none: it is not there, and what it had is cut.
     void place(index proxy, const std::optional<address> &at);
@@ -44,7 +44,7 @@
     loop &loop_;
     const experiment &given_;
     clients &people_;
-    witness &judge_;
+    observer &judge_;
     std::vector<place_of_proxy> proxies_;
     struct connection {
         std::shared_ptr<channel> on;
--- a/src/testbed/load/clients.cpp
+++ b/src/testbed/load/clients.cpp
@@ -21,17 +21,18 @@
 
 std::vector<double> parts_of_load(const experiment &given) {
     // By a seed of their own: the parts are the deployment's, and the same on every day of it.
-    chance drawn(given.proxies.count + 1000);
+    random_generator drawn(given.proxies.count + 1000);
     std::vector<double> made;
-    const double heaviest = given.load.heaviest;
-    for (index i = 0; i < given.proxies.count && (given.load.uneven > 0 || heaviest > 0); ++i)
-        made.push_back(given.load.uneven > 0 ? drawn.lognormal(1, given.load.uneven) : 1);
+    const double heaviest = given.load.first_proxy_share;
+    for (index i = 0; i < given.proxies.count && (given.load.proxy_share_deviation > 0 || heaviest > 0); ++i)
+        made.push_back(
+            given.load.proxy_share_deviation > 0 ? drawn.lognormal(1, given.load.proxy_share_deviation) : 1);
     if (heaviest > 0 && made.size() > 1)
         made[0] = std::accumulate(made.begin() + 1, made.end(), 0.0) * heaviest / (1 - heaviest);
     return made;
 }
 
-clients::clients(timeline &clock, const experiment &given, witness &judge, std::uint32_t seed)
+clients::clients(timeline &clock, const experiment &given, observer &judge, std::uint32_t seed)
     : clock_(clock), given_(given), judge_(judge), chance_(seed), retries_(chance_.seed()),
       floods_(std::max<std::size_t>(1, given.tenants.size()), 1.0), by_tenant_(given.tenants.size()),
       by_use_(given.use_cases.size()) {
@@ -52,7 +53,7 @@
     began_ = next_due_ = clock_.now();
     clock_.at(began_ + given_.length, [this] { over_ = true; });
     for (index i = 0; i < given_.load.closed; ++i)
-        clock_.after(chance_.part() * std::max(0.01, given_.load.think),
+        clock_.after(chance_.uniform() * std::max(0.01, given_.load.think_time),
                      [this, i] { begin(clock_.now(), i); });
     if (given_.load.rate > 0)
         next_arrival();
@@ -60,7 +61,7 @@
 
 double clients::rate() const {
     const double part = (clock_.now() - began_) / given_.length;
-    const double ramp = 1 + (given_.load.ramp_to - 1) * (1 - std::cos(6.283185307179586 * part)) / 2;
+    const double ramp = 1 + (given_.load.peak_factor - 1) * (1 - std::cos(6.283185307179586 * part)) / 2;
     double tenants = 1;
     if (!given_.tenants.empty()) {
         double plain = 0, flooded = 0;
@@ -90,8 +91,9 @@
 // Ranks change hands: after each drift a tenth of them belongs to keys that nobody asked for before.
 std::uint64_t clients::key_of_rank(index rank) const {
     std::uint64_t turn = 0;
-    if (given_.load.drift > 0) {
-        const auto drifts = static_cast<std::uint64_t>((clock_.now() - began_) / given_.load.drift);
+    if (given_.load.popularity_drift_time > 0) {
+        const auto drifts =
+            static_cast<std::uint64_t>((clock_.now() - began_) / given_.load.popularity_drift_time);
         const auto every = static_cast<std::uint64_t>(std::round(1 / drift_share));
         turn = (drifts + every - 1 - rank % every) / every;
     }
@@ -107,17 +109,17 @@
     of.closed = closed;
     auto &ask_it = of.now;
     ask_it.op = op;
-    ask_it.use_case = pick(uses_, chance_.part());
+    ask_it.use_case = pick(uses_, chance_.uniform());
     const auto &use = given_.use_cases[ask_it.use_case];
     ask_it.write = use.write;
     ask_it.keyed = use.keyed;
-    const bool hottest = given_.load.hottest > 0 && chance_.happens(given_.load.hottest);
-    ask_it.key = key_of_rank(hottest ? 0 : pick(sums_, chance_.part()));
+    const bool hottest = given_.load.hottest_key_share > 0 && chance_.happens(given_.load.hottest_key_share);
+    ask_it.key = key_of_rank(hottest ? 0 : pick(sums_, chance_.uniform()));
     if (!given_.tenants.empty()) {
         double sum = 0;
         for (std::size_t i = 0; i < given_.tenants.size(); ++i)
             sum += given_.tenants[i].share * floods_[i];
-        double part = chance_.part() * sum;
+        double part = chance_.uniform() * sum;
         ask_it.tenant = 0;
         while (ask_it.tenant + 1 < given_.tenants.size() &&
                (part -= given_.tenants[ask_it.tenant].share * floods_[ask_it.tenant]) >= 0)
@@ -138,24 +140,24 @@
     const auto &use = given_.use_cases[of.now.use_case];
     if (of.now.attempt == 0)
         of.first_asked = now;
-    of.now.end = now + use.statement_timeout;
+    of.now.end = now + use.timeout;
     const index count = given_.proxies.count;
-    const index first = parts_.empty() ? chance_.below(count) : pick(parts_, chance_.part());
+    const index first = parts_.empty() ? chance_.below(count) : pick(parts_, chance_.uniform());
     bool sent = false;
     for (index i = 0; i < count && !sent; ++i) {
         of.now.proxy = (first + i) % count;
         sent = there(of.now.proxy);
     }
     if (!sent) // nobody is there: the client comes back like one that was cut off
-        return again(op, given_.load.impatient);
+        return again(op, given_.load.retry_delay);
     // Told first: what comes of it may be seen elsewhere before this thread goes on.
-    judge_.asked(op, of.now.attempt, of.now.proxy, of.now.use_case, of.now.end);
+    judge_.request_sent(op, of.now.attempt, of.now.proxy, of.now.use_case, of.now.end);
     send(of.now);
-    clock_.at(of.now.end + given_.load.wait_beyond, [this, op, attempt = of.now.attempt] {
+    clock_.at(of.now.end + given_.load.response_grace, [this, op, attempt = of.now.attempt] {
         const auto late = open_.find(op);
         if (late == open_.end() || late->second.now.attempt != attempt || late->second.waits)
             return;
-        judge_.unanswered(op, attempt);
+        judge_.response_missing(op, attempt);
         leave(late->second.now);
         finish(op, reply::none);
     });
@@ -163,23 +165,23 @@
 
 void clients::answered(operation op, index attempt, reply how, double come_back, bool body_fits) {
     if (how == reply::cut)
-        judge_.unanswered(op, attempt);
+        judge_.response_missing(op, attempt);
     else
-        judge_.answered(op, attempt, how, body_fits);
+        judge_.response_received(op, attempt, how, body_fits);
     const auto found = open_.find(op);
     if (found == open_.end() || found->second.now.attempt != attempt || found->second.waits)
         return;
     // What was cut off may have run, or may yet: who asks again then must know that a repeat is dropped
     // wherever it comes.
-    const auto &use = given_.use_cases[found->second.now.use_case].decides;
+    const auto &use = given_.use_cases[found->second.now.use_case].routing;
     const bool repeatable =
         use.effect == effect_kind::idempotent ||
         (use.effect == effect_kind::deduplicated && use.scope == deduplication_scope::all);
     const bool may = how == reply::rejected || (how == reply::cut && repeatable);
     if (!may || found->second.now.attempt >= given_.load.retries)
         return finish(op, how);
-    const bool heeds = come_back > 0 && retries_.happens(given_.load.heed);
-    const double wait = heeds ? come_back : given_.load.impatient * (0.5 + retries_.part());
+    const bool heeds = come_back > 0 && retries_.happens(given_.load.retry_after_share);
+    const double wait = heeds ? come_back : given_.load.retry_delay * (0.5 + retries_.uniform());
     // A deduplicated request may be refused although it may have run: its client comes back while servers
     // know it.
     const double known_until = found->second.first_asked + use.deduplication_window * window_share;
@@ -191,7 +193,7 @@
 void clients::again(operation op, double wait) {
     auto &of = open_.at(op);
     // Nobody asks for what is worth nothing any more: a client's patience is twice its statement timeout.
-    const double give_up = of.intended + 2 * given_.use_cases[of.now.use_case].statement_timeout;
+    const double give_up = of.intended + 2 * given_.use_cases[of.now.use_case].timeout;
     if (clock_.now() + wait > give_up || of.now.attempt >= given_.load.retries)
         return finish(op, reply::rejected);
     of.waits = true;
@@ -207,9 +209,9 @@
     const open_op of = open_.at(op);
     count(of, how);
     open_.erase(op);
-    judge_.settled(op);
+    judge_.operation_finished(op);
     if (of.closed != none && !over_)
-        clock_.after(given_.load.think > 0 ? chance_.exponential(given_.load.think) : 0,
+        clock_.after(given_.load.think_time > 0 ? chance_.exponential(given_.load.think_time) : 0,
                      [this, closed = of.closed] { begin(clock_.now(), closed); });
 }
 
@@ -218,16 +220,16 @@
     const double took = clock_.now() - of.intended;
     const bool served = how == reply::completed;
     const double worth = !served ? 0
-                         : took <= use.decides.latency_objective
-                             ? use.decides.priority_weight
-                             : use.decides.priority_weight * use.decides.late_value_share;
+                         : took <= use.routing.latency_objective
+                             ? use.routing.priority_weight
+                             : use.routing.priority_weight * use.routing.late_value_share;
     const auto add = [&](slot &to) {
-        to.asked += use.decides.priority_weight;
+        to.asked += use.routing.priority_weight;
         to.served += worth;
         ++to.queries;
         to.retries += of.now.attempt;
         to.completed += served;
-        to.late += served && took > use.decides.latency_objective;
+        to.late += served && took > use.routing.latency_objective;
         to.rejected += how == reply::rejected;
         to.aborted += how == reply::aborted;
         to.none += how == reply::none || how == reply::cut;
@@ -235,7 +237,7 @@
             to.times.add(took);
     };
     if (on_settled)
-        on_settled(of.now.proxy, worth, use.decides.priority_weight);
+        on_settled(of.now.proxy, worth, use.routing.priority_weight);
     const double at = of.intended - began_;
     add(slots_[std::min(slots_.size() - 1, static_cast<std::size_t>(std::max(0.0, at) / slot_length_))]);
     if (at < given_.settle)
--- a/src/testbed/load/clients.hpp
+++ b/src/testbed/load/clients.hpp
@@ -40,7 +40,7 @@
 
 class clients {
 public:
-    clients(timeline &clock, const experiment &given, witness &judge, std::uint32_t seed);
+    clients(timeline &clock, const experiment &given, observer &judge, std::uint32_t seed);
 
     void start(); // from the present time on, for the experiment's length
     void pause(bool begins);
@@ -95,8 +95,8 @@
 
     timeline &clock_;
     const experiment &given_;
-    witness &judge_;
-    chance chance_, retries_;
+    observer &judge_;
+    random_generator chance_, retries_;
     std::vector<double> sums_;  // of popularity, by rank
     std::vector<double> uses_;  // of shares, by use case
     std::vector<double> parts_; // of the load, by proxy; empty: all alike
--- a/src/testbed/model/experiment.cpp
+++ b/src/testbed/model/experiment.cpp
@@ -28,7 +28,7 @@
      {"vanish", fault_kind::vanish},
      {"slow", fault_kind::slow},
      {"errors", fault_kind::errors},
-     {"spoilt", fault_kind::spoilt},
+     {"spoilt", fault_kind::malformed},
      {"one_way", fault_kind::one_way},
      {"drain", fault_kind::drain},
      {"join", fault_kind::join},
@@ -50,8 +50,10 @@
      {"host_stop", fault_kind::host_stop},
      {"list_kill", fault_kind::list_kill},
      {"list_stop", fault_kind::list_stop}}};
-constexpr std::array<std::pair<const char *, known_list>, 3> known_names = {
-    {{"none", known_list::none}, {"list", known_list::list}, {"old", known_list::old}}};
+constexpr std::array<std::pair<const char *, initial_list_kind>, 3> known_names = {
+    {{"none", initial_list_kind::none},
+     {"list", initial_list_kind::list},
+     {"old", initial_list_kind::stale}}};
 constexpr std::array<std::pair<const char *, list_service_kind>, 2> list_names = {
     {{"agent", list_service_kind::agent}, {"central", list_service_kind::central}}};
 constexpr std::array<std::pair<const char *, link_kind>, 4> end_names = {
@@ -71,21 +73,22 @@
 constexpr std::array<std::pair<const char *, ways>, 3> way_names = {
     {{"there", ways::there}, {"back", ways::back}, {"both", ways::both}}};
 
-constexpr std::array<std::pair<const char *, decider>, 5> decider_names = {
-    {{"module", decider::module},
-     {"whole_list", decider::whole_list},
-     {"random", decider::random},
-     {"least_of_two", decider::least_of_two},
-     {"plain_ring", decider::plain_ring}}};
-constexpr std::array<std::pair<const char *, plant>, 9> plant_names = {{{"nothing", plant::nothing},
-                                                                        {"lose", plant::lose},
-                                                                        {"answer_twice", plant::answer_twice},
-                                                                        {"run_twice", plant::run_twice},
-                                                                        {"two_out", plant::two_out},
-                                                                        {"ignore_drain", plant::ignore_drain},
-                                                                        {"push_cold", plant::push_cold},
-                                                                        {"late", plant::late},
-                                                                        {"wrong_body", plant::wrong_body}}};
+constexpr std::array<std::pair<const char *, policy_kind>, 5> policy_names = {
+    {{"module", policy_kind::module},
+     {"whole_list", policy_kind::full_list},
+     {"random", policy_kind::random},
+     {"least_of_two", policy_kind::less_loaded_of_two},
+     {"plain_ring", policy_kind::plain_ring}}};
+constexpr std::array<std::pair<const char *, injected_violation>, 9> violation_names = {
+    {{"nothing", injected_violation::nothing},
+     {"lose", injected_violation::lose_response},
+     {"answer_twice", injected_violation::answer_twice},
+     {"run_twice", injected_violation::execute_twice},
+     {"two_out", injected_violation::concurrent_attempts},
+     {"ignore_drain", injected_violation::ignore_drain},
+     {"push_cold", injected_violation::overload_cold},
+     {"late", injected_violation::late_attempt},
+     {"wrong_body", injected_violation::wrong_body}}};
 // One table of the file, read key by key; what nobody asked for is refused at the end.
 class section {
 public:
@@ -95,8 +98,8 @@
     [[noreturn]] void refuse(const toml::node *at, const std::string &why) const {
         const auto &where = at != nullptr ? at->source() : from_.source();
         // What a base brought is refused where it stands.
-        throw bad_experiment((where.path ? *where.path : file_) + ":" + std::to_string(where.begin.line) +
-                             ": " + why);
+        throw experiment_error((where.path ? *where.path : file_) + ":" + std::to_string(where.begin.line) +
+                               ": " + why);
     }
     [[noreturn]] void refuse_key(const std::string &key, const std::string &why) const {
         refuse(from_.get(key), path_ + key + " " + why);
@@ -142,37 +145,37 @@
         to = *node->value<std::string>();
     }
     void seconds(const std::string &key, double &to, double least, double most) {
-        std::string given;
+        std::string value;
         if (!has(key))
             return;
-        text(key, given);
+        text(key, value);
         static constexpr std::array<std::pair<const char *, double>, 4> units = {
             {{"us", 1e-6}, {"ms", 1e-3}, {"min", 60}, {"s", 1}}};
-        const auto end = given.find_first_not_of("0123456789.");
+        const auto end = value.find_first_not_of("0123456789.");
         const auto unit = std::find_if(units.begin(), units.end(), [&](const auto &each) {
-            return end != std::string::npos && given.substr(end) == each.first;
+            return end != std::string::npos && value.substr(end) == each.first;
         });
-        if (end == 0 || unit == units.end() || std::count(given.begin(), given.end(), '.') > 1)
+        if (end == 0 || unit == units.end() || std::count(value.begin(), value.end(), '.') > 1)
             refuse_key(key, "is no time with a unit, as \"8ms\", \"2s\", \"200us\" or \"1min\"");
-        to = std::stod(given.substr(0, end)) * unit->second;
+        to = std::stod(value.substr(0, end)) * unit->second;
         if (!(to >= least && to <= most))
             refuse_key(key, "is not between " + shown(least) + " and " + shown(most) + " s");
     }
     template <typename Names, typename Kind>
     void one_of(const std::string &key, const Names &names, Kind &to) {
-        std::string given;
+        std::string value;
         if (!has(key))
             return;
-        text(key, given);
+        text(key, value);
         std::string known;
         for (const auto &[name, kind] : names) {
-            if (given == name) {
+            if (value == name) {
                 to = kind;
                 return;
             }
             known.append(known.empty() ? "" : ", ").append(name);
         }
-        refuse_key(key, "is \"" + given + "\", and known are: " + known);
+        refuse_key(key, "is \"" + value + "\", and known are: " + known);
     }
     void texts(const std::string &key, std::vector<std::string> &to) {
         const toml::node *node = take(key);
@@ -258,25 +261,25 @@
 };
 
 void read_use_case(section &from, experiment &to) {
-    use_case_spec use;
+    request_class_settings use;
     from.text("name", use.name);
     if (use.name.empty() ||
         use.name.find_first_not_of("abcdefghijklmnopqrstuvwxyz_-0123456789") != std::string::npos)
         from.refuse(nullptr, "a use_case needs a name of small letters, digits, - and _");
-    from.one_of("effect", effect_names, use.decides.effect);
-    from.one_of("group", deduplication_scope_names, use.decides.scope);
-    from.seconds("window", use.decides.deduplication_window, 0, 3600);
-    from.seconds("slo", use.decides.latency_objective, 0.0001, 600);
-    use.statement_timeout = use.decides.latency_objective * 3;
-    from.seconds("timeout", use.statement_timeout, 0.001, 600);
-    from.number("importance", use.decides.priority_weight, 0, 1000);
-    from.number("tardy", use.decides.late_value_share, 0, 1);
+    from.one_of("effect", effect_names, use.routing.effect);
+    from.one_of("group", deduplication_scope_names, use.routing.scope);
+    from.seconds("window", use.routing.deduplication_window, 0, 3600);
+    from.seconds("slo", use.routing.latency_objective, 0.0001, 600);
+    use.timeout = use.routing.latency_objective * 3;
+    from.seconds("timeout", use.timeout, 0.001, 600);
+    from.number("importance", use.routing.priority_weight, 0, 1000);
+    from.number("tardy", use.routing.late_value_share, 0, 1);
     from.flag("write", use.write);
     from.flag("keyed", use.keyed);
     from.number("share", use.share, 0, 1e6);
     from.seconds("work", use.work, 1e-6, 60);
     from.number("spread", use.spread, 0, 3);
-    if (use.decides.effect == effect_kind::deduplicated && use.decides.deduplication_window <= 0)
+    if (use.routing.effect == effect_kind::deduplicated && use.routing.deduplication_window <= 0)
         from.refuse(nullptr, "a deduplicated use_case needs a window");
     to.use_cases.push_back(std::move(use));
 }
@@ -300,7 +303,7 @@
     from.number(key, share, 0, 1);
     std::vector<index> all(count);
     std::iota(all.begin(), all.end(), 0);
-    chance order(seed);
+    random_generator order(seed);
     for (index i = count; i > 1; --i)
         std::swap(all[i - 1], all[order.below(i)]);
     all.resize(static_cast<std::size_t>(std::llround(share * count)));
@@ -334,13 +337,13 @@
 }
 
 // A fault that goes over its servers or proxies in steps is as many faults, one after the other.
-void add_steps(const fault_spec &whole, index steps, double over, experiment &to) {
+void add_steps(const fault_settings &whole, index steps, double over, experiment &to) {
     if (steps == 1)
         return to.faults.push_back(whole);
     auto &list = whole.servers.empty() ? whole.proxies : whole.servers;
     const auto count = static_cast<index>(list.size());
     for (index i = 0; i < steps; ++i) {
-        fault_spec part = whole;
+        fault_settings part = whole;
         auto &some = whole.servers.empty() ? part.proxies : part.servers;
         some.assign(list.begin() + i * count / steps, list.begin() + (i + 1) * count / steps);
         part.at = whole.at + over * i / steps;
@@ -350,7 +353,7 @@
 }
 
 void read_fault(section &from, experiment &to) {
-    fault_spec made;
+    fault_settings made;
     from.one_of("kind", fault_names, made.kind);
     read_times(from, "a fault", made.at, made.lasts, made.every);
     from.number("factor", made.factor, 0, 10000);
@@ -401,7 +404,7 @@
 }
 
 void read_link(section &from, experiment &to) {
-    link_fault_spec made;
+    link_fault_settings made;
     from.one_of("kind", link_names, made.kind);
     read_times(from, "a link", made.at, made.lasts, made.every);
     if (from.has("between")) {
@@ -417,23 +420,24 @@
             made.between.push_back(known->second);
         }
     }
-    read_ends(from, to, 501 + 2 * static_cast<std::uint32_t>(to.links.size()), made.proxies, made.servers);
+    read_ends(from, to, 501 + 2 * static_cast<std::uint32_t>(to.link_faults.size()), made.proxies,
+              made.servers);
     from.number("share", made.share, 0, 1);
     ways to_where = made.kind == link_fault_kind::one_way ? ways::back : ways::both;
     from.one_of("direction", way_names, to_where);
-    made.there = to_where != ways::back;
-    made.back = to_where != ways::there;
+    made.to_far_end = to_where != ways::back;
+    made.to_near_end = to_where != ways::there;
     from.flag("list", made.list);
     from.flag("clients", made.clients);
     from.seconds("delay", made.delay, 0, 60);
     from.seconds("jitter", made.jitter, 0, 60);
-    from.number("pace", made.pace, 0, 1e12);
-    from.number("lost", made.lost, 0, 1);
-    from.number("doubled", made.doubled, 0, 1);
-    from.number("reordered", made.reordered, 0, 1);
+    from.number("pace", made.bytes_per_second, 0, 1e12);
+    from.number("lost", made.loss_share, 0, 1);
+    from.number("doubled", made.duplicate_share, 0, 1);
+    from.number("reordered", made.reorder_share, 0, 1);
     const auto refuse = [&](const char *why) { from.refuse(nullptr, std::string(name_of(made.kind)) + why); };
-    const bool slow = made.delay + made.jitter + made.pace > 0;
-    const bool of_datagrams = made.lost + made.doubled + made.reordered > 0;
+    const bool slow = made.delay + made.jitter + made.bytes_per_second > 0;
+    const bool of_datagrams = made.loss_share + made.duplicate_share + made.reorder_share > 0;
     if (made.kind == link_fault_kind::one_way && to_where == ways::both)
         refuse(" is there or back; both is drop");
     if (made.kind == link_fault_kind::slow && !slow)
@@ -449,7 +453,7 @@
         refuse(" has no group that the list is in or clients are cut off from");
     if (made.lasts <= 0)
         refuse(" needs `for`");
-    to.links.push_back(std::move(made));
+    to.link_faults.push_back(std::move(made));
 }
 
 // What `over` has stands instead of, or beside, what `to` has; lists stand whole.
@@ -468,16 +472,16 @@
     if (const toml::node *base = own.get("base")) {
         const auto said = base->value_exact<std::string>();
         if (!said || !may_have_base)
-            throw bad_experiment(name + ":" + std::to_string(base->source().begin.line) + ": base " +
-                                 (said ? "of a base" : "is no text"));
+            throw experiment_error(name + ":" + std::to_string(base->source().begin.line) + ": base " +
+                                   (said ? "of a base" : "is no text"));
         const auto slash = name.rfind('/');
         const std::string path = (slash == std::string::npos ? "" : name.substr(0, slash + 1)) + *said;
         std::ifstream in(path);
         std::ostringstream all;
         all << in.rdbuf();
         if (!in)
-            throw bad_experiment(name + ":" + std::to_string(base->source().begin.line) + ": base " + path +
-                                 " cannot be read");
+            throw experiment_error(name + ":" + std::to_string(base->source().begin.line) + ": base " + path +
+                                   " cannot be read");
         own.erase("base");
         toml::table whole = laid_out(all.str(), path, false, false);
         lay_over(whole, own);
@@ -487,14 +491,14 @@
         return own;
     if (const toml::node *part = own.get("large")) {
         if (!part->is_table())
-            throw bad_experiment(name + ":" + std::to_string(part->source().begin.line) +
-                                 ": large is written [large]");
+            throw experiment_error(name + ":" + std::to_string(part->source().begin.line) +
+                                   ": large is written [large]");
         const toml::table over = *part->as_table();
         own.erase("large");
         if (large)
             lay_over(own, over);
     } else if (large) {
-        throw bad_experiment(name + ":1: has no [large] part");
+        throw experiment_error(name + ":1: has no [large] part");
     }
     return own;
 }
@@ -509,15 +513,15 @@
         auto &fleet = to.fleet;
         from.whole("servers", fleet.servers, 1, most_servers);
         from.texts("zones", fleet.zones);
-        from.whole("bare", fleet.bare, 0, static_cast<double>(fleet.zones.size() - 1));
+        from.whole("bare", fleet.proxy_only_zones, 0, static_cast<double>(fleet.zones.size() - 1));
         from.whole("cores", fleet.cores, 1, 1024);
         from.number("slowest", fleet.slowest, 0.01, 1);
         from.whole("queue", fleet.queue, 0, 1e6);
-        from.whole("store", fleet.store, 0, 1e7);
-        from.flag("aside", fleet.aside);
-        from.flag("warm", fleet.warm);
-        from.seconds("idle", fleet.idle, 0.1, 3600);
-        from.seconds("dial_work", fleet.dial_work, 0, 10);
+        from.whole("store", fleet.cache_capacity, 0, 1e7);
+        from.flag("aside", fleet.cache_aside);
+        from.flag("warm", fleet.starts_warm);
+        from.seconds("idle", fleet.idle_timeout, 0.1, 3600);
+        from.seconds("dial_work", fleet.connect_work, 0, 10);
         from.whole("hosts", fleet.hosts, 0, 64);
     });
     top.table("origin", [&](section &from) {
@@ -527,24 +531,24 @@
         from.whole("queue", to.origin.queue, 0, 1e6);
     });
     top.table("cold", [&](section &from) {
-        from.number("start_capacity", to.cold.decides.initial_capacity_share, 0.01, 1);
-        from.seconds("warm_time", to.cold.decides.warm_up_time, 0, 3600);
-        from.number("push_limit", to.cold.push_limit, 1, 1000);
-        from.seconds("push_time", to.cold.push_time, 0.1, 60);
+        from.number("start_capacity", to.warm_up.routing.initial_capacity_share, 0.01, 1);
+        from.seconds("warm_time", to.warm_up.routing.warm_up_time, 0, 3600);
+        from.number("push_limit", to.warm_up.overload_factor, 1, 1000);
+        from.seconds("push_time", to.warm_up.overload_window, 0.1, 60);
     });
     top.table("network", [&](section &from) {
-        from.seconds("one_way", to.network.one_way, 0, 1);
-        to.network.cross_zone = to.network.one_way;
-        from.seconds("cross_zone", to.network.cross_zone, 0, 1);
-        from.seconds("dial_limit", to.network.dial_limit, 0.001, 60);
+        from.seconds("one_way", to.network.latency, 0, 1);
+        to.network.cross_zone_latency = to.network.latency;
+        from.seconds("cross_zone", to.network.cross_zone_latency, 0, 1);
+        from.seconds("dial_limit", to.network.connect_timeout, 0.001, 60);
     });
     top.table("list", [&](section &from) {
         from.one_of("form", list_names, to.list.form);
         from.whole("workers", to.list.workers, 1, 1e4);
-        from.seconds("whole_work", to.list.whole_work, 0, 60);
+        from.seconds("whole_work", to.list.snapshot_work, 0, 60);
         from.seconds("watch_work", to.list.watch_work, 0, 60);
         from.whole("queue", to.list.queue, 0, 1e6);
-        from.seconds("come_back", to.list.come_back, 0, 600);
+        from.seconds("come_back", to.list.retry_after, 0, 600);
         from.flag("own_process", to.list.own_process);
         from.seconds("lag", to.list.lag, 0, 60);
         from.seconds("notice", to.list.notice, 0, 600);
@@ -555,49 +559,49 @@
         auto &load = to.load;
         from.number("rate", load.rate, 0, 1e6);
         from.whole("closed", load.closed, 0, 1e5);
-        from.seconds("think", load.think, 0, 60);
+        from.seconds("think", load.think_time, 0, 60);
         from.whole("keys", load.keys, 1, 1e7);
         from.number("zipf", load.zipf, 0, 3);
-        from.seconds("drift", load.drift, 0, most_length);
-        from.number("ramp_to", load.ramp_to, 0.01, 100);
+        from.seconds("drift", load.popularity_drift_time, 0, most_length);
+        from.number("ramp_to", load.peak_factor, 0.01, 100);
         from.whole("retries", load.retries, 0, 20);
-        from.number("heed", load.heed, 0, 1);
-        from.seconds("impatient", load.impatient, 0.001, 60);
-        from.number("uneven", load.uneven, 0, 3);
-        from.number("heaviest", load.heaviest, 0, 0.99);
-        from.number("hottest", load.hottest, 0, 1);
-        from.seconds("wait_beyond", load.wait_beyond, 0.01, 10);
-        from.whole("idle", load.idle, 0, 1e4);
+        from.number("heed", load.retry_after_share, 0, 1);
+        from.seconds("impatient", load.retry_delay, 0.001, 60);
+        from.number("uneven", load.proxy_share_deviation, 0, 3);
+        from.number("heaviest", load.first_proxy_share, 0, 0.99);
+        from.number("hottest", load.hottest_key_share, 0, 1);
+        from.seconds("wait_beyond", load.response_grace, 0.01, 10);
+        from.whole("idle", load.idle_connections, 0, 1e4);
     });
     top.table("prices", [&](section &from) {
-        from.number("handshake", to.prices.handshake, 0, 100);
-        from.number("origin", to.prices.origin, 0, 100);
+        from.number("handshake", to.costs.handshake, 0, 100);
+        from.number("origin", to.costs.origin, 0, 100);
     });
     top.table("proxies", [&](section &from) {
         auto &proxies = to.proxies;
         from.whole("count", proxies.count, 1, 1000);
-        from.flag("probes", proxies.probes);
-        from.flag("cancel", proxies.cancel);
-        from.whole("max_executions", proxies.max_executions, 1, 100);
-        from.seconds("advice", proxies.advice, 0, 60);
-        from.number("excess_importance", proxies.excess_importance, 0, 1);
+        from.flag("probes", proxies.may_check_health);
+        from.flag("cancel", proxies.may_cancel);
+        from.whole("max_executions", proxies.max_attempts, 1, 100);
+        from.seconds("advice", proxies.max_retry_after, 0, 60);
+        from.number("excess_importance", proxies.over_quota_weight_share, 0, 1);
         from.whole("sockets", proxies.sockets, 64, 1e5);
         from.number("memory_mb", proxies.memory_mb, 32, 1e6);
-        from.flag("together", proxies.together);
-        from.one_of("known", known_names, proxies.known);
-        from.number("known_old", proxies.known_old, 0, 1);
+        from.flag("together", proxies.start_with_load);
+        from.one_of("known", known_names, proxies.initial_list);
+        from.number("known_old", proxies.stale_list_share, 0, 1);
         from.flag("shared_list", proxies.shared_list);
         from.flag("snapshots", proxies.snapshots);
-        from.flag("peers", proxies.peers);
+        from.flag("peers", proxies.may_exchange_datagrams);
     });
-    if (to.fleet.aside && to.fleet.hosts > 0)
+    if (to.fleet.cache_aside && to.fleet.hosts > 0)
         top.refuse(nullptr,
                    "fleet.aside and fleet.hosts do not go together: the origin fills the servers' stores");
     top.tables("use_case", [&](section &from) { read_use_case(from, to); });
     if (to.use_cases.empty())
         top.refuse(nullptr, "the experiment has no [[use_case]]");
     top.tables("tenant", [&](section &from) {
-        tenant_spec one;
+        tenant_settings one;
         from.text("name", one.name);
         from.number("share", one.share, 0, 1e6);
         from.number("quota_rps", one.quota_rps, 0, 1e6);
@@ -616,10 +620,10 @@
     });
     top.tables("link", [&](section &from) { read_link(from, to); });
     top.tables("variant", [&](section &from) {
-        variant_spec one;
-        from.one_of("by", decider_names, one.by);
-        from.one_of("plant", plant_names, one.breaks);
-        one.name = name_of(one.by);
+        variant_settings one;
+        from.one_of("by", policy_names, one.policy);
+        from.one_of("plant", violation_names, one.violation);
+        one.name = name_of(one.policy);
         from.text("name", one.name);
         to.variants.push_back(std::move(one));
     });
@@ -641,80 +645,81 @@
     return kind_name(end_names, kind);
 }
 
-const char *name_of(plant which) {
-    return kind_name(plant_names, which);
+const char *name_of(injected_violation which) {
+    return kind_name(violation_names, which);
 }
 
-plant plant_of(const std::string &name) {
-    for (const auto &[known, which] : plant_names)
+injected_violation parse_injected_violation(const std::string &name) {
+    for (const auto &[known, which] : violation_names)
         if (name == known)
             return which;
-    throw bad_experiment("\"" + name + "\" is no plant");
+    throw experiment_error("\"" + name + "\" is no plant");
 }
 
-index host_of(const experiment &given, index server) {
-    return given.fleet.hosts > 0 ? server % given.fleet.hosts : none;
+index host_of(const experiment &settings, index server) {
+    return settings.fleet.hosts > 0 ? server % settings.fleet.hosts : none;
 }
 
-index all_servers(const experiment &given) {
-    const bool old = given.proxies.known == known_list::old;
-    index most = given.fleet.servers + static_cast<index>(old ? old_gone * given.fleet.servers : 0);
-    for (const auto &each : given.faults)
+index total_server_count(const experiment &settings) {
+    const bool old = settings.proxies.initial_list == initial_list_kind::stale;
+    index most = settings.fleet.servers + static_cast<index>(old ? old_gone * settings.fleet.servers : 0);
+    for (const auto &each : settings.faults)
         for (const index server : each.servers)
             most = std::max(most, server + 1);
     return most;
 }
 
-std::vector<bool> late_proxies(const experiment &given) {
-    std::vector<bool> late(given.proxies.count);
-    for (const auto &each : given.faults)
+std::vector<bool> late_starting_proxies(const experiment &settings) {
+    std::vector<bool> late(settings.proxies.count);
+    for (const auto &each : settings.faults)
         if (each.kind == fault_kind::proxy_late)
             for (const index proxy : each.proxies)
                 late[proxy] = true;
     return late;
 }
 
-double list_patience(const list_spec &given) {
-    return std::clamp(given.drain_grace * 0.25, 0.1, 1.0);
+double list_response_timeout(const list_service_settings &settings) {
+    return std::clamp(settings.drain_grace * 0.25, 0.1, 1.0);
 }
 
-discovery::poll_settings list_terms(const experiment &given) {
-    const auto &list = given.list;
-    return {.service = given.proxies.shared_list ? discovery::list_service_kind::shared
-                                                 : discovery::list_service_kind::agent,
-            .proxy_count = given.proxies.count,
-            .snapshots_per_second = std::min(1e6, list.workers / std::max(1e-6, list.whole_work)),
+discovery::poll_settings list_poll_settings(const experiment &settings) {
+    const auto &list = settings.list;
+    return {.service = settings.proxies.shared_list ? discovery::list_service_kind::shared
+                                                    : discovery::list_service_kind::agent,
+            .proxy_count = settings.proxies.count,
+            .snapshots_per_second = std::min(1e6, list.workers / std::max(1e-6, list.snapshot_work)),
             .max_poll_interval = ask_in};
 }
 
 // Every second one of what is left of the share, whatever the zone.
-bool knows_old(const experiment &given, index proxy) {
-    return given.proxies.known == known_list::old &&
-           std::floor((proxy + 1) * given.proxies.known_old) > std::floor(proxy * given.proxies.known_old);
+bool starts_with_stale_list(const experiment &settings, index proxy) {
+    return settings.proxies.initial_list == initial_list_kind::stale &&
+           std::floor((proxy + 1) * settings.proxies.stale_list_share) >
+               std::floor(proxy * settings.proxies.stale_list_share);
 }
 
-bool in_old_list(const experiment &given, index server) {
-    const auto gone = static_cast<index>(old_gone * given.fleet.servers);
-    return server < given.fleet.servers - gone ||
-           (server >= given.fleet.servers && server < given.fleet.servers + gone);
+bool in_stale_list(const experiment &settings, index server) {
+    const auto gone = static_cast<index>(old_gone * settings.fleet.servers);
+    return server < settings.fleet.servers - gone ||
+           (server >= settings.fleet.servers && server < settings.fleet.servers + gone);
 }
 
-bool has_end(const fault_spec &fault) {
+bool has_end(const fault_settings &fault) {
     return fault.lasts > 0 && fault.kind != fault_kind::drain && fault.kind != fault_kind::join &&
            fault.kind != fault_kind::proxy_restart && fault.kind != fault_kind::proxy_end &&
            fault.kind != fault_kind::proxy_late && fault.kind != fault_kind::proxy_signals;
 }
 
-const char *name_of(decider by) {
-    return kind_name(decider_names, by);
+const char *name_of(policy_kind by) {
+    return kind_name(policy_names, by);
 }
 
-decider decider_of(const std::string &name) {
-    for (const auto &[word, value] : decider_names)
+policy_kind parse_policy_kind(const std::string &name) {
+    for (const auto &[word, value] : policy_names)
         if (name == word)
             return value;
-    throw bad_experiment("no decider is called " + name +
-                         ": module, whole_list, random, least_of_two, plain_ring");
+    throw experiment_error("no decider is called " + name +
+                           ": module, whole_list, random, least_of_two, plain_ring");
 }
 
 experiment parse_experiment(const std::string &text, const std::string &name, bool large) {
@@ -726,13 +731,14 @@
         const toml::table all = laid_out(text, name, large, true);
         std::ostringstream whole;
         whole << all;
-        made.whole = whole.str();
+        made.merged_text = whole.str();
         section top(all, "", name);
         read_whole(top, made);
         top.finish();
     } catch (const toml::parse_error &bad) {
-        throw bad_experiment((bad.source().path ? *bad.source().path : name) + ":" +
-                             std::to_string(bad.source().begin.line) + ": " + std::string(bad.description()));
+        throw experiment_error((bad.source().path ? *bad.source().path : name) + ":" +
+                               std::to_string(bad.source().begin.line) + ": " +
+                               std::string(bad.description()));
     }
     if (large)
         made.name += "-large";
@@ -744,48 +750,48 @@
     std::ostringstream text;
     text << in.rdbuf();
     if (!in)
-        throw bad_experiment(path + ": cannot be read");
+        throw experiment_error(path + ": cannot be read");
     return parse_experiment(text.str(), path, large);
 }
 
-index zone_of(const experiment &given, index server) {
-    return server % (static_cast<index>(given.fleet.zones.size()) - given.fleet.bare);
+index zone_of(const experiment &settings, index server) {
+    return server % (static_cast<index>(settings.fleet.zones.size()) - settings.fleet.proxy_only_zones);
 }
 
-index zone_of_proxy(const experiment &given, index proxy) {
-    return proxy % static_cast<index>(given.fleet.zones.size());
+index zone_of_proxy(const experiment &settings, index proxy) {
+    return proxy % static_cast<index>(settings.fleet.zones.size());
 }
 
-index group_of(const experiment &given, index use_case, index server) {
-    const auto group = given.use_cases[use_case].decides.scope;
+index deduplication_group_of(const experiment &settings, index use_case, index server) {
+    const auto group = settings.use_cases[use_case].routing.scope;
     return group == deduplication_scope::all    ? 0
-           : group == deduplication_scope::zone ? zone_of(given, server)
+           : group == deduplication_scope::zone ? zone_of(settings, server)
                                                 : server;
 }
 
-router_settings settings_for(const experiment &given, index proxy) {
+router_settings router_settings_for(const experiment &settings, index proxy) {
     router_settings made;
-    for (const auto &each : given.use_cases)
-        made.request_classes.push_back(each.decides);
-    for (const auto &each : given.tenants)
+    for (const auto &each : settings.use_cases)
+        made.request_classes.push_back(each.routing);
+    for (const auto &each : settings.tenants)
         made.tenant_quotas.push_back(each.quota_rps);
-    made.over_quota_weight_share = given.proxies.excess_importance;
-    made.local_zone = zone_of_proxy(given, proxy);
-    made.proxy_count = given.proxies.count;
+    made.over_quota_weight_share = settings.proxies.over_quota_weight_share;
+    made.local_zone = zone_of_proxy(settings, proxy);
+    made.proxy_count = settings.proxies.count;
     made.proxy_index = proxy;
-    made.handshake_cost = given.prices.handshake;
-    made.origin_fetch_cost = given.prices.origin;
-    made.upstream_idle_timeout = given.fleet.idle;
-    made.slow_start = given.cold.decides;
-    made.origin_kind = given.fleet.aside ? 1 : none;
-    made.constraints.may_cancel = given.proxies.cancel;
-    made.constraints.may_check_health = given.proxies.probes;
+    made.handshake_cost = settings.costs.handshake;
+    made.origin_fetch_cost = settings.costs.origin;
+    made.upstream_idle_timeout = settings.fleet.idle_timeout;
+    made.slow_start = settings.warm_up.routing;
+    made.origin_kind = settings.fleet.cache_aside ? 1 : none;
+    made.constraints.may_cancel = settings.proxies.may_cancel;
+    made.constraints.may_check_health = settings.proxies.may_check_health;
     made.constraints.watch_required = true;
     // As the program has it where the list is told by itself (proxy/settings.cpp).
-    const bool patient = given.list.form == list_service_kind::central && !given.proxies.shared_list;
-    made.constraints.max_poll_interval = patient ? list_patience(given.list) : ask_in;
-    made.constraints.max_attempts = given.proxies.max_executions;
-    made.constraints.max_retry_after = given.proxies.advice;
+    const bool patient = settings.list.form == list_service_kind::central && !settings.proxies.shared_list;
+    made.constraints.max_poll_interval = patient ? list_response_timeout(settings.list) : ask_in;
+    made.constraints.max_attempts = settings.proxies.max_attempts;
+    made.constraints.max_retry_after = settings.proxies.max_retry_after;
     return made;
 }
 
--- a/src/testbed/model/list_service.cpp
+++ b/src/testbed/model/list_service.cpp
@@ -6,12 +6,12 @@
 namespace harrierpass::testbed {
 namespace {
 
-constexpr double most_watch = 60; // s that a watch may wait
+constexpr double max_watch_time = 60; // s that a watch may wait
 
 } // namespace
 
-list_service::list_service(timeline &clock, const list_spec &given, member_list &list)
-    : clock_(clock), given_(given), list_(list), workers_(clock, given.workers, given.queue) {}
+list_service::list_service(timeline &clock, const list_service_settings &settings, member_list &list)
+    : clock_(clock), settings_(settings), list_(list), workers_(clock, settings.workers, settings.queue) {}
 
 list_answer list_service::changes(std::uint64_t since) const {
     return {false, false, 0, list_.revision(), list_.since(since)};
@@ -21,8 +21,8 @@
     const std::uint64_t number = next_++;
     if (!list_.answers() || !up_)
         return number;
-    const auto serve = [this, number, since, wait, done, life = life_] {
-        if (life != life_ || waiting_.erase(number) == 0 || !list_.answers())
+    const auto serve = [this, number, since, wait, done, incarnation = incarnation_] {
+        if (incarnation != incarnation_ || waiting_.erase(number) == 0 || !list_.answers())
             return;
         if (since)
             return open(number, *since, wait, done);
@@ -33,14 +33,14 @@
         done(all);
     };
     waiting_[number] = true;
-    if (given_.form == list_service_kind::agent) {
+    if (settings_.form == list_service_kind::agent) {
         serve();
         return number;
     }
-    const double work = since ? given_.watch_work : given_.whole_work;
+    const double work = since ? settings_.watch_work : settings_.snapshot_work;
     if (!workers_.take([work] { return work; }, serve)) {
         waiting_.erase(number);
-        done({true, false, given_.come_back, 0, {}});
+        done({true, false, settings_.retry_after, 0, {}});
     }
     return number;
 }
@@ -49,9 +49,9 @@
     if (since < list_.revision())
         return done(changes(since));
     watching_[call] = {since, done};
-    clock_.after(std::clamp(wait, 0.0, most_watch), [this, call, life = life_] {
+    clock_.after(std::clamp(wait, 0.0, max_watch_time), [this, call, incarnation = incarnation_] {
         const auto found = watching_.find(call);
-        if (life != life_ || found == watching_.end() || !list_.answers())
+        if (incarnation != incarnation_ || found == watching_.end() || !list_.answers())
             return;
         const watch over = std::move(found->second);
         watching_.erase(found);
@@ -74,7 +74,7 @@
 }
 
 void list_service::die() {
-    ++life_;
+    ++incarnation_;
     up_ = false;
     watching_.clear();
     waiting_.clear();
--- a/src/testbed/model/list_service.hpp
+++ b/src/testbed/model/list_service.hpp
@@ -14,14 +14,14 @@
 
 struct list_answer {
     bool refused = false, whole = false;
-    double come_back = 0; // s, where it was refused
+    double retry_after = 0; // s, where it was refused
     std::uint64_t revision = 0;
     std::vector<member_list::member> members; // whole: those that are here
 };
 
 class list_service {
 public:
-    list_service(timeline &clock, const list_spec &given, member_list &list);
+    list_service(timeline &clock, const list_service_settings &settings, member_list &list);
 
     // A call for the whole list, or a watch from a revision on that waits for so many seconds. `done` is
     // called once, or never: the service is silent, or the call was dropped.
@@ -43,12 +43,12 @@
     list_answer changes(std::uint64_t since) const;
 
     timeline &clock_;
-    const list_spec &given_;
+    const list_service_settings &settings_;
     member_list &list_;
     cores workers_;
     std::map<std::uint64_t, watch> watching_; // by call, in their order
     std::map<std::uint64_t, bool> waiting_;   // calls that a worker has or will have
-    std::uint64_t next_ = 1, life_ = 0;
+    std::uint64_t next_ = 1, incarnation_ = 0;
     bool up_ = true;
 };
 
--- a/src/testbed/model/membership.cpp
+++ b/src/testbed/model/membership.cpp
@@ -5,30 +5,31 @@
 
 namespace harrierpass::testbed {
 
-member_list::member_list(const experiment &given, index servers) {
+member_list::member_list(const experiment &settings, index servers) {
     for (index i = 0; i <= servers; ++i) {
-        const bool here = i < given.fleet.servers || (i == servers && given.fleet.aside);
+        const bool here = i < settings.fleet.servers || (i == servers && settings.fleet.cache_aside);
         // What an old list names went when this one came.
-        const bool went = given.proxies.known == known_list::old && i < servers && in_old_list(given, i);
+        const bool went = settings.proxies.initial_list == initial_list_kind::stale && i < servers &&
+                          in_stale_list(settings, i);
         members_.push_back(
             {i, here ? endpoint_state::ready : endpoint_state::removed, 0, here || went ? revision_ : 0});
     }
 }
 
-membership::membership(timeline &clock, const experiment &given, index servers, std::uint32_t seed)
-    : member_list(given, servers), clock_(clock), given_(given.list), chance_(seed), truth_(members_),
-      due_(servers + 1, 0.0) {}
+membership::membership(timeline &clock, const experiment &settings, index servers, std::uint32_t seed)
+    : member_list(settings, servers), clock_(clock), settings_(settings.list), random_(seed),
+      actual_(members_), due_(servers + 1, 0.0) {}
 
-void membership::happened(index server, endpoint_state state, double started) {
-    member &now = truth_[server];
+void membership::record_change(index server, endpoint_state state, double started) {
+    member &now = actual_[server];
     if (now.state == state && now.started == started)
         return;
     now.state = state;
     now.started = started;
-    due_[server] = std::max(due_[server], clock_.now() + chance_.exponential(given_.lag));
+    due_[server] = std::max(due_[server], clock_.now() + random_.exponential(settings_.lag));
     clock_.at(due_[server], [this, what = now] {
         if (stale_ > 0)
-            kept_back_.push_back(what);
+            withheld_.push_back(what);
         else
             publish(what);
     });
@@ -38,8 +39,8 @@
     stale_ += begins ? 1 : static_cast<index>(-1);
     if (stale_ > 0)
         return;
-    const auto all = std::move(kept_back_);
-    kept_back_.clear();
+    const auto all = std::move(withheld_);
+    withheld_.clear();
     for (const auto &each : all)
         publish(each);
 }
@@ -56,12 +57,13 @@
     members_.at(what.server) = what;
 }
 
-std::vector<member_list::member> member_list::known_by(const experiment &given, index proxy) const {
+std::vector<member_list::member> member_list::initial_members_of(const experiment &settings,
+                                                                 index proxy) const {
     std::vector<member> made;
-    const bool old = knows_old(given, proxy);
+    const bool old = starts_with_stale_list(settings, proxy);
     for (const auto &each : members_)
         if (old && each.server + 1 < members_.size()) {
-            if (in_old_list(given, each.server))
+            if (in_stale_list(settings, each.server))
                 made.push_back({each.server, endpoint_state::ready, 0, 0});
         } else if (each.state != endpoint_state::removed) {
             made.push_back(each);
--- a/src/testbed/model/membership.hpp
+++ b/src/testbed/model/membership.hpp
@@ -21,14 +21,14 @@
         double started = 0;
         std::uint64_t revision = 0; // of its last change
     };
-    member_list(const experiment &given, index servers);
+    member_list(const experiment &settings, index servers);
     virtual ~member_list() = default;
 
     std::uint64_t revision() const { return revision_; }
     const std::vector<member> &all() const { return members_; }
     std::vector<member> since(std::uint64_t revision) const;
     // The list that a proxy starts with, where it starts with one; an old one is of revision 0.
-    std::vector<member> known_by(const experiment &given, index proxy) const;
+    std::vector<member> initial_members_of(const experiment &settings, index proxy) const;
     void publish(member what);     // as the next revision
     void load(const member &what); // as it stands elsewhere, with its revision; nobody is told
     void silent(bool begins) { silent_ += begins ? 1 : static_cast<index>(-1); }
@@ -44,20 +44,20 @@
 
 class membership : public member_list {
 public:
-    membership(timeline &clock, const experiment &given, index servers, std::uint32_t seed);
+    membership(timeline &clock, const experiment &settings, index servers, std::uint32_t seed);
 
     // What happened; it is published later.
-    void happened(index server, endpoint_state state, double started);
+    void record_change(index server, endpoint_state state, double started);
     void stale(bool begins);
-    const member &truth(index server) const { return truth_[server]; }
+    const member &actual(index server) const { return actual_[server]; }
 
 private:
     timeline &clock_;
-    const list_spec &given_;
-    chance chance_;
-    std::vector<member> truth_;
-    std::vector<member> kept_back_; // while stale
-    std::vector<double> due_;       // by server: when its last change is published; they keep their order
+    const list_service_settings &settings_;
+    random_generator random_;
+    std::vector<member> actual_;
+    std::vector<member> withheld_; // while stale
+    std::vector<double> due_;      // by server: when its last change is published; they keep their order
     index stale_ = 0;
 };
 
--- a/src/testbed/model/random.hpp
+++ b/src/testbed/model/random.hpp
@@ -9,23 +9,23 @@
 
 namespace harrierpass::testbed {
 
-class chance {
+class random_generator {
 public:
-    explicit chance(std::uint32_t seed) : from_(seed == 0 ? 1 : seed) { from_.discard(8); }
+    explicit random_generator(std::uint32_t seed) : from_(seed == 0 ? 1 : seed) { from_.discard(8); }
 
-    double part() { return (static_cast<double>(from_()) - 1) / 2147483646.0; } // in [0, 1)
+    double uniform() { return (static_cast<double>(from_()) - 1) / 2147483646.0; } // in [0, 1)
     std::uint32_t below(std::uint32_t count) {
-        const auto got = static_cast<std::uint32_t>(part() * count);
+        const auto got = static_cast<std::uint32_t>(uniform() * count);
         return got < count ? got : count - 1;
     }
-    bool happens(double share) { return part() < share; }
-    double exponential(double mean) { return -mean * std::log(1 - part()); }
+    bool happens(double share) { return uniform() < share; }
+    double exponential(double mean) { return -mean * std::log(1 - uniform()); }
     // Lognormal by its mean and the deviation of its logarithm; 0: always the mean.
     double lognormal(double mean, double spread) {
         if (spread <= 0)
             return mean;
-        const double normal =
-            std::sqrt(-2 * std::log(1 - part())) * std::cos(6.283185307179586 * part()); // Box and Muller
+        const double normal = std::sqrt(-2 * std::log(1 - uniform())) *
+                              std::cos(6.283185307179586 * uniform()); // Box and Muller
         return mean * std::exp(spread * normal - spread * spread / 2);
     }
     std::uint32_t seed() { return from_(); }
--- a/src/testbed/model/servers.cpp
+++ b/src/testbed/model/servers.cpp
@@ -7,8 +7,8 @@
 namespace harrierpass::testbed {
 namespace {
 
-constexpr double error_time = 0.0005; // s; an error comes at once
-constexpr std::size_t least_push = 8; // executions; fewer push nothing over
+constexpr double error_time = 0.0005;            // s; an error comes at once
+constexpr std::size_t min_overload_attempts = 8; // executions; fewer push nothing over
 
 } // namespace
 
@@ -16,7 +16,7 @@
 
 bool cores::take(std::function<double()> work, std::function<void()> then) {
     if (busy_ >= free_ || still_) {
-        if (queue_.size() >= most_)
+        if (queue_.size() >= max_queue_)
             return false;
         queue_.push_back({std::move(work), std::move(then)});
         return true;
@@ -27,14 +27,16 @@
 
 void cores::start(item one) {
     ++busy_;
-    clock_.after(one.work(), [this, life = life_, then = std::move(one.then)] { finish(life, then); });
+    clock_.after(one.work(), [this, incarnation = incarnation_, then = std::move(one.then)] {
+        finish(incarnation, then);
+    });
 }
 
-void cores::finish(std::uint64_t life, const std::function<void()> &then) {
-    if (life != life_)
+void cores::finish(std::uint64_t incarnation, const std::function<void()> &then) {
+    if (incarnation != incarnation_)
         return;
     if (still_) {
-        held_.push_back(then);
+        finished_while_frozen_.push_back(then);
         return;
     }
     --busy_;
@@ -48,11 +50,11 @@
 
 void cores::stand(bool still) {
     still_ = still;
-    const auto life = life_;
-    while (!still_ && !held_.empty() && life == life_) {
-        const auto then = std::move(held_.front());
-        held_.pop_front();
-        finish(life_, then);
+    const auto incarnation = incarnation_;
+    while (!still_ && !finished_while_frozen_.empty() && incarnation == incarnation_) {
+        const auto then = std::move(finished_while_frozen_.front());
+        finished_while_frozen_.pop_front();
+        finish(incarnation_, then);
     }
     while (!still_ && busy_ < free_ && !queue_.empty()) {
         item next = std::move(queue_.front());
@@ -62,20 +64,21 @@
 }
 
 void cores::clear() {
-    ++life_;
+    ++incarnation_;
     busy_ = 0;
     queue_.clear();
-    held_.clear();
+    finished_while_frozen_.clear();
 }
 
 // ---- Origin
 
-origin::origin(timeline &clock, const experiment &given, std::uint32_t seed)
-    : given_(given.origin), chance_(seed), cores_(clock, given.origin.workers, given.origin.queue) {}
+origin::origin(timeline &clock, const experiment &settings, std::uint32_t seed)
+    : settings_(settings.origin), random_(seed),
+      cores_(clock, settings.origin.workers, settings.origin.queue) {}
 
 void origin::fetch(const std::function<void(bool)> &done) {
     ++fetches_;
-    const auto work = [this] { return factor_ * chance_.lognormal(given_.work, given_.spread); };
+    const auto work = [this] { return factor_ * random_.lognormal(settings_.work, settings_.spread); };
     if (!cores_.take(work, [done] { done(true); }))
         done(false);
 }
@@ -92,15 +95,16 @@
 // ---- One server
 
 cache_server::cache_server(fleet &of, index number, std::uint32_t seed)
-    : of_(of), number_(number), chance_(seed), cores_(of.clock, of.given.fleet.cores, of.given.fleet.queue) {
-    const auto &given = of.given.fleet;
+    : of_(of), number_(number), random_(seed),
+      cores_(of.clock, of.settings.fleet.cores, of.settings.fleet.queue) {
+    const auto &settings = of.settings.fleet;
     const double part =
-        given.servers > 1 ? static_cast<double>(number % given.servers) / (given.servers - 1) : 1;
-    speed_ = given.slowest + (1 - given.slowest) * part;
+        settings.servers > 1 ? static_cast<double>(number % settings.servers) / (settings.servers - 1) : 1;
+    speed_ = settings.slowest + (1 - settings.slowest) * part;
 }
 
-double cache_server::warmth() const {
-    const auto &cold = of_.given.cold.decides;
+double cache_server::warm_up_progress() const {
+    const auto &cold = of_.settings.warm_up.routing;
     if (started_ <= 0 || cold.warm_up_time <= 0)
         return 1;
     const double gone = std::max(0.0, of_.clock.now() - started_) / cold.warm_up_time;
@@ -110,28 +114,28 @@
 void cache_server::receive(const job &what, const answer_to &done) {
     if (!up())
         return;
-    const auto &use = of_.given.use_cases[what.use_case];
+    const auto &use = of_.settings.use_cases[what.use_case];
     const double now = of_.clock.now();
-    if (warmth() < 1) {
-        const auto &cold = of_.given.cold;
-        std::erase_if(sent_, [&](const auto &each) { return each.first < now - cold.push_time; });
+    if (warm_up_progress() < 1) {
+        const auto &cold = of_.settings.warm_up;
+        std::erase_if(sent_, [&](const auto &each) { return each.first < now - cold.overload_window; });
         sent_.emplace_back(now, use.work);
         double work = 0;
         for (const auto &each : sent_)
             work += each.second;
-        const double can = of_.given.fleet.cores * speed_ * warmth() * cold.push_time;
-        if (sent_.size() >= least_push && work > cold.push_limit * can) {
-            of_.judge.fell(number_);
+        const double can = of_.settings.fleet.cores * speed_ * warm_up_progress() * cold.overload_window;
+        if (sent_.size() >= min_overload_attempts && work > cold.overload_factor * can) {
+            of_.event_observer.server_overloaded(number_);
             return fall();
         }
     }
     if (draining_)
         return reply_with(done, {result::kind::queue_full, note::none});
-    for (const auto &each : troubles_)
-        if (!each.spoils && (each.use_case == none || each.use_case == what.use_case) &&
-            chance_.happens(each.share))
-            return of_.clock.after(error_time, [this, life = life_, done] {
-                if (life == life_)
+    for (const auto &each : response_faults_)
+        if (!each.malforms && (each.use_case == none || each.use_case == what.use_case) &&
+            random_.happens(each.share))
+            return of_.clock.after(error_time, [this, incarnation = incarnation_, done] {
+                if (incarnation == incarnation_)
                     reply_with(done, {result::kind::error, note::none});
             });
     begin(what, done);
@@ -143,16 +147,16 @@
     changed();
 }
 
-void cache_server::dialled() {
-    const double work = of_.given.fleet.dial_work;
+void cache_server::on_connection_opened() {
+    const double work = of_.settings.fleet.connect_work;
     if (work > 0 && up())
-        cores_.take([this, work] { return work * factor_ / (speed_ * warmth()); }, [] {});
+        cores_.take([this, work] { return work * factor_ / (speed_ * warm_up_progress()); }, [] {});
 }
 
 void cache_server::begin(const job &what, const answer_to &done) {
     const auto work = [this, use = what.use_case] {
-        const auto &spec = of_.given.use_cases[use];
-        return chance_.lognormal(spec.work, spec.spread) * factor_ / (speed_ * warmth());
+        const auto &spec = of_.settings.use_cases[use];
+        return random_.lognormal(spec.work, spec.spread) * factor_ / (speed_ * warm_up_progress());
     };
     if (!cores_.take(work, [this, what, done] { work_done(what, done); }))
         reply_with(done, {result::kind::queue_full, note::none});
@@ -160,29 +164,29 @@
 
 // The server's own part is done: the effect of a write takes place, a read is there or is fetched.
 void cache_server::work_done(const job &what, const answer_to &done) {
-    const auto life = life_;
+    const auto incarnation = incarnation_;
     if (what.write)
-        return of_.write(what, number_, [this, life, done](bool seen, bool there) {
-            if (life == life_)
+        return of_.write(what, number_, [this, incarnation, done](bool seen, bool there) {
+            if (incarnation == incarnation_)
                 reply_with(done, {seen || there ? result::kind::completed : result::kind::error, note::none});
         });
-    if (!what.keyed || knows(what)) {
-        of_.judge.ran(what.op, what.attempt, number_);
+    if (!what.keyed || has_cached(what)) {
+        of_.event_observer.effect_executed(what.op, what.attempt, number_);
         return reply_with(done, {result::kind::completed, what.keyed ? note::hit : note::none});
     }
-    if (of_.given.fleet.aside)
+    if (of_.settings.fleet.cache_aside)
         return reply_with(done, {result::kind::missed, note::miss});
-    of_.judge.ran(what.op, what.attempt, number_);
+    of_.event_observer.effect_executed(what.op, what.attempt, number_);
     auto &waiting = fetching_[what.key];
-    waiting.push_back([this, life, done, first = waiting.empty()](bool there) {
-        if (life == life_)
+    waiting.push_back([this, incarnation, done, first = waiting.empty()](bool there) {
+        if (incarnation == incarnation_)
             reply_with(done, {there ? result::kind::completed : result::kind::error,
                               first ? note::miss : note::pending});
     });
     if (waiting.size() > 1)
         return;
-    of_.fetch([this, life, key = what.key](bool there) {
-        if (life != life_)
+    of_.fetch([this, incarnation, key = what.key](bool there) {
+        if (incarnation != incarnation_)
             return;
         if (there)
             fill(key);
@@ -194,15 +198,15 @@
 }
 
 void cache_server::reply_with(const answer_to &done, result with) {
-    if (!up() || deaf())
+    if (!up() || drops_responses())
         return;
-    for (const auto &each : troubles_)
-        if (each.spoils && chance_.happens(each.share))
-            with = {result::kind::spoilt, note::none};
+    for (const auto &each : response_faults_)
+        if (each.malforms && random_.happens(each.share))
+            with = {result::kind::malformed, note::none};
     done(with);
 }
 
-bool cache_server::knows(const job &what) {
+bool cache_server::has_cached(const job &what) {
     const auto found = place_.find(what.key);
     if (found == place_.end())
         return false;
@@ -211,18 +215,18 @@
 }
 
 void cache_server::fill(std::uint64_t key) {
-    if (of_.given.fleet.store == 0 || place_.contains(key))
+    if (of_.settings.fleet.cache_capacity == 0 || place_.contains(key))
         return;
     store_.push_front(key);
     place_[key] = store_.begin();
-    if (store_.size() > of_.given.fleet.store) {
+    if (store_.size() > of_.settings.fleet.cache_capacity) {
         place_.erase(store_.back());
         store_.pop_back();
     }
 }
 
-void cache_server::fill_popular() {
-    for (index rank = std::min(of_.given.fleet.store, of_.given.load.keys); rank-- > 0;)
+void cache_server::fill_most_popular() {
+    for (index rank = std::min(of_.settings.fleet.cache_capacity, of_.settings.load.keys); rank-- > 0;)
         fill(rank);
 }
 
@@ -239,7 +243,7 @@
 }
 
 void cache_server::start_cold(double started) {
-    ++life_;
+    ++incarnation_;
     started_ = started;
     fallen_ = false;
     sent_.clear();
@@ -254,7 +258,7 @@
 void cache_server::crash(bool begins) {
     crashed_ += begins ? 1 : static_cast<index>(-1);
     if (begins) {
-        ++life_;
+        ++incarnation_;
         cores_.clear();
         fetching_.clear();
         changed();
@@ -264,11 +268,11 @@
 }
 
 void cache_server::set_trouble(bool begins) {
-    troubles_open_ += begins ? 1 : static_cast<index>(-1);
-    if (troubles_open_ == 0)
-        troubled_since_ = 0;
-    else if (troubled_since_ == 0)
-        troubled_since_ = of_.clock.now();
+    open_faults_ += begins ? 1 : static_cast<index>(-1);
+    if (open_faults_ == 0)
+        faulty_since_ = 0;
+    else if (faulty_since_ == 0)
+        faulty_since_ = of_.clock.now();
 }
 
 void cache_server::hang(bool begins) {
@@ -294,21 +298,22 @@
 
 void cache_server::errors(double share, index use_case, bool begins) {
     if (begins)
-        troubles_.push_back({share, use_case, false});
+        response_faults_.push_back({share, use_case, false});
     else
-        std::erase_if(troubles_, [&](const trouble &each) {
-            return !each.spoils && each.share == share && each.use_case == use_case;
+        std::erase_if(response_faults_, [&](const response_fault &each) {
+            return !each.malforms && each.share == share && each.use_case == use_case;
         });
 }
 
-void cache_server::spoilt(double share, bool begins) {
+void cache_server::malformed(double share, bool begins) {
     if (begins)
-        troubles_.push_back({share, none, true});
+        response_faults_.push_back({share, none, true});
     else
-        std::erase_if(troubles_, [&](const trouble &each) { return each.spoils && each.share == share; });
+        std::erase_if(response_faults_,
+                      [&](const response_fault &each) { return each.malforms && each.share == share; });
 }
 
-void set_model(cache_server &of, const fault_spec &fault, bool begins) {
+void apply_server_fault(cache_server &of, const fault_settings &fault, bool begins) {
     switch (fault.kind) {
     case fault_kind::crash:
     case fault_kind::host_kill:
@@ -324,8 +329,8 @@
         return of.slow(fault.factor, begins);
     case fault_kind::errors:
         return of.errors(fault.factor, fault.use_case, begins);
-    case fault_kind::spoilt:
-        return of.spoilt(fault.factor, begins);
+    case fault_kind::malformed:
+        return of.malformed(fault.factor, begins);
     case fault_kind::one_way:
         return of.one_way(begins);
     case fault_kind::drain:
@@ -337,12 +342,12 @@
 
 // ---- The fleet
 
-fleet::fleet(timeline &with, const experiment &of, witness &by, std::uint32_t seed)
-    : clock(with), given(of), judge(by), origin_(with, of, seed) {
-    const index most = all_servers(given);
+fleet::fleet(timeline &with, const experiment &of, observer &by, std::uint32_t seed)
+    : clock(with), settings(of), event_observer(by), origin_(with, of, seed) {
+    const index most = total_server_count(settings);
     for (index i = 0; i < most; ++i)
         servers_.emplace_back(*this, i, seed + 7919 * (i + 1));
-    for (index i = given.fleet.servers; i < most; ++i)
+    for (index i = settings.fleet.servers; i < most; ++i)
         servers_[i].crash(true); // not there before it joins
 }
 
@@ -352,7 +357,7 @@
     origin_.fetch([this, what, done](bool there) {
         if (!there)
             return done({result::kind::queue_full, note::none});
-        judge.ran(what.op, what.attempt, size());
+        event_observer.effect_executed(what.op, what.attempt, size());
         if (what.write && what.keyed)
             wrote(what.key);
         else if (what.keyed && what.missed_at < servers_.size() && servers_[what.missed_at].up())
@@ -362,7 +367,7 @@
 }
 
 bool fleet::seen_before(const job &what, index server) {
-    const auto &use = given.use_cases[what.use_case].decides;
+    const auto &use = settings.use_cases[what.use_case].routing;
     if (use.effect != effect_kind::deduplicated)
         return false;
     while (!old_marks_.empty() && old_marks_.front().first + 3600 < clock.now()) {
@@ -370,7 +375,7 @@
         old_marks_.pop_front();
     }
     auto &known = marks_[what.op];
-    const index group = group_of(given, what.use_case, server);
+    const index group = deduplication_group_of(settings, what.use_case, server);
     for (const auto &each : known)
         if (each.group == group && clock.now() < each.when + use.deduplication_window)
             return true;
@@ -390,7 +395,7 @@
         return remote_write(what, server, std::move(done));
     if (seen_before(what, server))
         return done(true, true);
-    judge.ran(what.op, what.attempt, server);
+    event_observer.effect_executed(what.op, what.attempt, server);
     origin_.fetch([this, keyed = what.keyed, key = what.key, done](bool there) {
         if (there && keyed)
             wrote(key);
--- a/src/testbed/model/servers.hpp
+++ b/src/testbed/model/servers.hpp
@@ -28,7 +28,7 @@
 
 // How an execution ends at a server; one that a fault swallows never ends.
 struct result {
-    enum class kind : std::uint8_t { completed, error, queue_full, missed, spoilt };
+    enum class kind : std::uint8_t { completed, error, queue_full, missed, malformed };
     kind is = kind::completed;
     note says = note::none;
 };
@@ -37,7 +37,7 @@
 // Work on a number of cores, in the order in which it comes.
 class cores {
 public:
-    cores(timeline &clock, index count, index queue) : clock_(clock), free_(count), most_(queue) {}
+    cores(timeline &clock, index count, index queue) : clock_(clock), free_(count), max_queue_(queue) {}
     // False: the queue is full. `work` tells the time it takes when it begins.
     bool take(std::function<double()> work, std::function<void()> then);
     void stand(bool still); // frozen: nothing begins or ends
@@ -51,21 +51,21 @@
         std::function<void()> then;
     };
     void start(item one);
-    void finish(std::uint64_t life, const std::function<void()> &then);
+    void finish(std::uint64_t incarnation, const std::function<void()> &then);
 
     timeline &clock_;
     index free_, busy_ = 0;
-    const std::size_t most_;
+    const std::size_t max_queue_;
     std::deque<item> queue_;
     bool still_ = false;
-    std::uint64_t life_ = 0;
-    std::deque<std::function<void()>> held_; // ended while frozen
+    std::uint64_t incarnation_ = 0;
+    std::deque<std::function<void()>> finished_while_frozen_; // ended while frozen
 };
 
 // The place where all values are: slow, and able to take far less than all queries.
 class origin {
 public:
-    origin(timeline &clock, const experiment &given, std::uint32_t seed);
+    origin(timeline &clock, const experiment &settings, std::uint32_t seed);
     // False in `done`: it had no room.
     void fetch(const std::function<void(bool)> &done);
     void slow(double factor, bool begins);
@@ -74,8 +74,8 @@
     std::size_t waiting() const { return cores_.waiting(); }
 
 private:
-    const origin_spec &given_;
-    chance chance_;
+    const origin_settings &settings_;
+    random_generator random_;
     cores cores_;
     double factor_ = 1;
     index stops_ = 0;
@@ -98,30 +98,30 @@
     void one_way(bool begins);
     void slow(double factor, bool begins);
     void errors(double share, index use_case, bool begins);
-    void spoilt(double share, bool begins);
+    void malformed(double share, bool begins);
     void refuse(bool begins) { draining_ = begins; }
 
-    void dialled(); // a new connection takes a core for its price
+    void on_connection_opened(); // a new connection takes a core for its price
 
     void fall(); // pushed over, seen by the process that it is in
     void start_cold(double started);
     void fill(std::uint64_t key); // as after a read
-    void fill_popular();          // what a warm store holds at the start, the most popular used last
+    void fill_most_popular();     // what a warm store holds at the start, the most popular used last
     void drop(std::uint64_t key);
 
     bool up() const { return crashed_ == 0 && !fallen_; }
     bool silent() const { return vanished_ > 0; }
     bool stands() const { return hung_ > 0; }
-    bool deaf() const { return one_way_ > 0; } // its answers are lost
-    bool answers_probes() const { return up() && !silent() && !stands() && !deaf(); }
+    bool drops_responses() const { return one_way_ > 0; } // its answers are lost
+    bool answers_probes() const { return up() && !silent() && !stands() && !drops_responses(); }
     // Since when it is in trouble that a proxy should find out by itself, s; 0: it is not.
-    double troubled_since() const { return troubled_since_; }
+    double troubled_since() const { return faulty_since_; }
     void set_trouble(bool begins);
     double started() const { return started_; }
-    double warmth() const;
+    double warm_up_progress() const;
     std::size_t in_hand() const { return cores_.busy() + cores_.waiting(); }
     std::size_t kept() const { return place_.size(); }
-    std::uint64_t life() const { return life_; } // processes before this one
+    std::uint64_t incarnation() const { return incarnation_; } // processes before this one
 
     std::function<void()> on_change; // up(), silent(), stands() or life() did
 
@@ -129,26 +129,26 @@
     void begin(const job &what, const answer_to &done);
     void work_done(const job &what, const answer_to &done);
     void reply_with(const answer_to &done, result with);
-    bool knows(const job &what);
+    bool has_cached(const job &what);
     void changed();
 
     fleet &of_;
     const index number_;
-    chance chance_;
+    random_generator random_;
     cores cores_;
     index crashed_ = 0, hung_ = 0, vanished_ = 0, one_way_ = 0;
     bool fallen_ = false, draining_ = false;
     double factor_ = 1, speed_ = 1;
-    struct trouble {
+    struct response_fault {
         double share;
         index use_case;
-        bool spoils;
+        bool malforms;
     };
-    std::vector<trouble> troubles_;
+    std::vector<response_fault> response_faults_;
     double started_ = 0; // 0: long ago
-    double troubled_since_ = 0;
-    index troubles_open_ = 0;
-    std::uint64_t life_ = 0;
+    double faulty_since_ = 0;
+    index open_faults_ = 0;
+    std::uint64_t incarnation_ = 0;
     std::deque<std::pair<double, double>> sent_; // while cold: when and how much work
     std::list<std::uint64_t> store_;             // the latest used first
     std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> place_;
@@ -156,12 +156,12 @@
 };
 
 // A fault of a server as its model has it: all but what the list says of it.
-void set_model(cache_server &of, const fault_spec &fault, bool begins);
+void apply_server_fault(cache_server &of, const fault_settings &fault, bool begins);
 
 // All servers, what they share, and what deduplication remembers.
 class fleet {
 public:
-    fleet(timeline &with, const experiment &of, witness &by, std::uint32_t seed);
+    fleet(timeline &with, const experiment &of, observer &by, std::uint32_t seed);
 
     cache_server &at(index number) { return servers_[number]; }
     index size() const { return static_cast<index>(servers_.size()); }
@@ -181,8 +181,8 @@
     void receive_at_origin(const job &what, const answer_to &done);
 
     timeline &clock;
-    const experiment &given;
-    witness &judge;
+    const experiment &settings;
+    observer &event_observer;
 
 private:
     friend class cache_server;
--- a/src/testbed/processes/faulty_proxy.cpp
+++ b/src/testbed/processes/faulty_proxy.cpp
@@ -25,7 +25,7 @@
 
 class front {
 public:
-    front(plant breaks, const json &given)
+    front(injected_violation breaks, const json &given)
         : breaks_(breaks), chance_(7), discovery_(*parse_address(given.at("discovery").get<std::string>())),
           listening_(must_listen(*parse_address(given.at("listen").get<std::string>()))) {
         for (const auto &each : given.at("settings").at("useCases"))
@@ -60,7 +60,7 @@
     };
     using link = std::shared_ptr<channel>;
 
-    bool now(plant which) { return breaks_ == which && ++chances_ % plant_every == 0; }
+    bool now(injected_violation which) { return breaks_ == which && ++chances_ % plant_every == 0; }
 
     link connect(const address &to, const std::function<void(const http_reader &)> &came,
                  const std::function<void(bool reached)> &failed) {
@@ -103,9 +103,10 @@
     const server *choose() {
         std::vector<const server *> ready;
         for (const auto &each : servers_) {
-            if (breaks_ == plant::ignore_drain && !each.ready && chances_++ % 4 == 0)
+            if (breaks_ == injected_violation::ignore_drain && !each.ready && chances_++ % 4 == 0)
                 return &each;
-            if (breaks_ == plant::push_cold && each.ready && each.started > loop_.clock.now() - 5)
+            if (breaks_ == injected_violation::overload_cold && each.ready &&
+                each.started > loop_.clock.now() - 5)
                 return &each;
             if (each.ready)
                 ready.push_back(&each);
@@ -154,7 +155,7 @@
         if (!asked.body().empty())
             what.text.append("Content-Length: ").append(std::to_string(asked.body().size())).append("\r\n");
         what.text.append("\r\n").append(asked.body());
-        if (now(plant::two_out))
+        if (now(injected_violation::concurrent_attempts))
             send_unheard(what);
         const std::weak_ptr<channel> client = on;
         const auto say = [client](int status, std::string_view body) {
@@ -168,24 +169,24 @@
                                    : answer.head().status == 200 ? 200
                                                                  : 502;
                 std::string body(answer.body());
-                if (status == 200 && now(plant::lose))
+                if (status == 200 && now(injected_violation::lose_response))
                     return;
-                if (status == 200 && now(plant::wrong_body))
+                if (status == 200 && now(injected_violation::wrong_body))
                     body = "{\"query\":\"q0-9\"}\n";
                 say(status, body);
-                if (now(plant::answer_twice))
+                if (now(injected_violation::answer_twice))
                     say(status, body);
-                if (status == 200 && what.once && breaks_ == plant::run_twice)
+                if (status == 200 && what.once && breaks_ == injected_violation::execute_twice)
                     send_unheard(what);
-                if (now(plant::late))
+                if (now(injected_violation::late_attempt))
                     loop_.clock.at(what.end + late_by, [this, what] { send_unheard(what); });
             },
             [say](bool reached) { say(reached ? 502 : 503, {}); });
     }
 
-    const plant breaks_;
+    const injected_violation breaks_;
     loop loop_;
-    chance chance_;
+    random_generator chance_;
     const address discovery_;
     tcp_socket listening_, signals_;
     std::set<std::string> once_; // use cases that must not run again
@@ -198,10 +199,10 @@
 
 } // namespace
 
-int run_plant_proxy(plant breaks, const std::string &configuration) {
+int run_plant_proxy(injected_violation breaks, const std::string &configuration) {
     std::ifstream in(configuration);
     if (!in)
-        throw bad_experiment(configuration + ": cannot be read");
+        throw experiment_error(configuration + ": cannot be read");
     front(breaks, json::parse(in)).run();
     return 0;
 }
--- a/src/testbed/processes/faulty_proxy.hpp
+++ b/src/testbed/processes/faulty_proxy.hpp
@@ -9,6 +9,6 @@
 namespace harrierpass::testbed {
 
 // Until SIGTERM. `configuration`: a proxy's, as fleet_ports writes it.
-int run_plant_proxy(plant breaks, const std::string &configuration);
+int run_plant_proxy(injected_violation breaks, const std::string &configuration);
 
 } // namespace harrierpass::testbed
--- a/src/testbed/processes/fleet_ports.cpp
+++ b/src/testbed/processes/fleet_ports.cpp
@@ -34,12 +34,12 @@
 
 } // namespace
 
-fleet_ports::fleet_ports(loop &in, stage &of, const fleet_places &where, const part_options &parts)
+fleet_ports::fleet_ports(loop &in, run_environment &of, const fleet_places &where, const part_options &parts)
     : loop_(in), stage_(of), folder_(parts.folder) {
     const bool processes = !parts.self.empty();
-    const bool serves_here = !processes || of.given.fleet.hosts == 0;
-    const bool lists_here = !processes || !of.given.list.own_process;
-    const index count = of.servers.size() + (of.given.fleet.aside ? 1 : 0);
+    const bool serves_here = !processes || of.settings.fleet.hosts == 0;
+    const bool lists_here = !processes || !of.settings.list.own_process;
+    const index count = of.servers.size() + (of.settings.fleet.cache_aside ? 1 : 0);
     // Parts are at addresses of their own, under one port that is free at this moment: what is dialled from
     // here cannot take a place that a killed part comes back to.
     const tcp_socket free = must_listen(part_address(60000, 0));
@@ -60,22 +60,22 @@
         hosts_.push_back(servers_.back()->at());
     }
     hosts_.resize(of.servers.size() + 1);
-    for (index i = 0; i < of.given.proxies.count; ++i) {
+    for (index i = 0; i < of.settings.proxies.count; ++i) {
         if (!lists_here) {
             list_addresses_.push_back(part_address(of.servers.size() + 1 + i, port));
             continue;
         }
         lists_.push_back(std::make_unique<list_port>(
-            in, of.given, of.list, of.service, of.sees, i,
+            in, of.settings, of.list, of.service, of.event_observer, i,
             loopback(where.first_list > 0 ? where.first_list + static_cast<int>(i) : 0), where_));
         lists_.back()->on_call = [this](list_call as, std::size_t bytes) {
-            stage_.figures.called(as, bytes);
+            stage_.metrics.called(as, bytes);
         };
         list_addresses_.push_back(*parse_address(lists_.back()->at()));
     }
     of.list.on_change = [this](const membership::member &) { stage_.service.changed(); };
-    killed_.resize(of.given.fleet.hosts + 1);
-    stopped_.resize(of.given.fleet.hosts + 1);
+    killed_.resize(of.settings.fleet.hosts + 1);
+    stopped_.resize(of.settings.fleet.hosts + 1);
     of.on_list_stop = [this](bool begins) { on_list(false, begins); };
     of.on_list_kill = [this](bool begins) { on_list(true, begins); };
     make_links();
@@ -91,8 +91,8 @@
 // ---- Links
 
 void fleet_ports::make_links() {
-    if (stage_.given.proxies.peers) {
-        for (index i = 0; i < stage_.given.proxies.count; ++i) {
+    if (stage_.settings.proxies.may_exchange_datagrams) {
+        for (index i = 0; i < stage_.settings.proxies.count; ++i) {
             // Its port is any that is free now; nobody else in the run binds at this address.
             const tcp_socket probe(::socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
             const address at = part_address(61000 + i, 0);
@@ -113,9 +113,9 @@
     stage_.on_link = [this](const link_id &which, const link_now &before, const link_now &now) {
         relay_->changed(which, before, now);
     };
-    stage_.on_model = [this](const fault_spec &fault, index server, bool begins) {
+    stage_.on_model = [this](const fault_settings &fault, index server, bool begins) {
         const bool as_a_host = fault.kind == fault_kind::host_kill || fault.kind == fault_kind::host_stop;
-        const index host = host_of(stage_.given, server);
+        const index host = host_of(stage_.settings, server);
         if (host < hosts_parts_.size() && !as_a_host) {
             part_message made;
             made.is = part_message::kind::fault;
@@ -187,9 +187,9 @@
 }
 
 void fleet_ports::make_parts(const part_options &parts) {
-    if (stage_.given.fleet.hosts == 0 && !stage_.given.list.own_process)
+    if (stage_.settings.fleet.hosts == 0 && !stage_.settings.list.own_process)
         return;
-    std::ofstream(folder_ + "/experiment.toml") << stage_.given.whole;
+    std::ofstream(folder_ + "/experiment.toml") << stage_.settings.merged_text;
     const auto made = [&](const std::string &name, const std::string &text) {
         write_setup(name, text);
         auto part = std::make_unique<part_process>(
@@ -199,13 +199,13 @@
         part->on_death = [this] { ++deaths_; };
         return part;
     };
-    for (index host = 0; host < stage_.given.fleet.hosts; ++host) {
+    for (index host = 0; host < stage_.settings.fleet.hosts; ++host) {
         hosts_parts_.push_back(made("servers" + std::to_string(host), setup("servers", host, false)));
         serve(*hosts_parts_.back(), host);
         hosts_parts_.back()->start();
     }
     stage_.on_host = [this](index host, fault_kind kind, bool begins) { on_host(host, kind, begins); };
-    if (stage_.given.fleet.hosts > 0)
+    if (stage_.settings.fleet.hosts > 0)
         stage_.servers.on_wrote = [this](std::uint64_t key) {
             part_message told;
             told.is = part_message::kind::void_copy;
@@ -213,11 +213,11 @@
             for (const auto &each : hosts_parts_)
                 each->send(told);
         };
-    if (stage_.given.list.own_process) {
+    if (stage_.settings.list.own_process) {
         list_part_ = made("list", setup("list", 0, false));
         list_part_->on_message = [this](const part_message &what) {
             if (what.is == part_message::kind::call)
-                stage_.figures.called(static_cast<list_call>(what.small), what.number);
+                stage_.metrics.called(static_cast<list_call>(what.small), what.number);
         };
         stage_.list.on_change = [this](const membership::member &what) {
             list_part_->send(about(what, part_message::kind::publish));
@@ -235,9 +235,9 @@
 
 void fleet_ports::connection(index server, bool begins) {
     if (!begins)
-        return stage_.figures.closed(server);
-    stage_.figures.dialled(server, true);
-    stage_.figures.opened(server);
+        return stage_.metrics.closed(server);
+    stage_.metrics.dialled(server, true);
+    stage_.metrics.opened(server);
 }
 
 // What the origin and its marks are to all servers is here, wherever they are.
@@ -269,10 +269,10 @@
     };
     part.on_ready = [this, &part, host] {
         for (index i = 0; i < stage_.servers.size(); ++i) {
-            if (host_of(stage_.given, i) != host)
+            if (host_of(stage_.settings, i) != host)
                 continue;
             // What the script has made of it meanwhile: a new process knows nothing of it.
-            const bool up = stage_.servers.at(i).up(), from_start = i < stage_.given.fleet.servers;
+            const bool up = stage_.servers.at(i).up(), from_start = i < stage_.settings.fleet.servers;
             if (up != from_start) {
                 part_message made;
                 made.is = part_message::kind::fault;
@@ -300,7 +300,7 @@
         died.is = seen::kind::died;
         died.when = std::max(before, part.last()) + 1e-7;
         for (index i = 0; i < stage_.servers.size(); ++i)
-            if (host_of(stage_.given, i) == host) {
+            if (host_of(stage_.settings, i) == host) {
                 died.a = i;
                 stage_.events.put(stage_.own_events, died);
             }
@@ -354,18 +354,18 @@
 std::string fleet_ports::configuration(index proxy, const std::string &listen, std::uint32_t seed) const {
     static constexpr std::array<const char *, 3> effects = {"idempotent", "deduplicated", "at_most_once"};
     static constexpr std::array<const char *, 3> groups = {"all", "zone", "cell"};
-    const auto &given = stage_.given;
+    const auto &given = stage_.settings;
     using nlohmann::json;
     json uses = json::array(), tenants = json::array();
     for (const auto &each : given.use_cases)
         uses.push_back({{"name", each.name},
-                        {"effect", effects[static_cast<std::size_t>(each.decides.effect)]},
-                        {"group", groups[static_cast<std::size_t>(each.decides.scope)]},
-                        {"windowMs", each.decides.deduplication_window * 1000},
-                        {"sloTimeMs", each.decides.latency_objective * 1000},
-                        {"statementTimeoutMs", each.statement_timeout * 1000},
-                        {"importance", each.decides.priority_weight},
-                        {"tardyImportance", each.decides.late_value_share}});
+                        {"effect", effects[static_cast<std::size_t>(each.routing.effect)]},
+                        {"group", groups[static_cast<std::size_t>(each.routing.scope)]},
+                        {"windowMs", each.routing.deduplication_window * 1000},
+                        {"sloTimeMs", each.routing.latency_objective * 1000},
+                        {"statementTimeoutMs", each.timeout * 1000},
+                        {"importance", each.routing.priority_weight},
+                        {"tardyImportance", each.routing.late_value_share}});
     for (const auto &each : given.tenants)
         tenants.push_back({{"name", each.name}, {"quotaRps", each.quota_rps}});
     std::ostringstream hexadecimal;
@@ -386,34 +386,34 @@
           {"shapes", {"cache", "origin"}},
           {"weights", "nominal"},
           {"limits",
-           {{"cancel", given.proxies.cancel},
-            {"probes", given.proxies.probes},
-            {"retryAfter", given.proxies.advice > 0},
-            {"maxRetryAfterMs", given.proxies.advice * 1000},
-            {"maxExecutions", given.proxies.max_executions},
+           {{"cancel", given.proxies.may_cancel},
+            {"probes", given.proxies.may_check_health},
+            {"retryAfter", given.proxies.max_retry_after > 0},
+            {"maxRetryAfterMs", given.proxies.max_retry_after * 1000},
+            {"maxExecutions", given.proxies.max_attempts},
             {"secondCopies", false},
-            {"dialTimeoutMs", given.network.dial_limit * 1000},
-            {"connIdleMs", given.fleet.idle * 1000}}},
+            {"dialTimeoutMs", given.network.connect_timeout * 1000},
+            {"connIdleMs", given.fleet.idle_timeout * 1000}}},
           {"rules",
-           {{"startCapacity", given.cold.decides.initial_capacity_share},
-            {"coldMs", given.cold.decides.warm_up_time * 1000},
+           {{"startCapacity", given.warm_up.routing.initial_capacity_share},
+            {"coldMs", given.warm_up.routing.warm_up_time * 1000},
             {"drainGraceMs", given.list.drain_grace * 1000},
             {"mustAskInMs", 10000}}},
           {"fees",
-           {{"crossZone", 0.0}, {"origin", given.prices.origin}, {"handshake", given.prices.handshake}}},
-          {"excessImportance", given.proxies.excess_importance},
+           {{"crossZone", 0.0}, {"origin", given.costs.origin}, {"handshake", given.costs.handshake}}},
+          {"excessImportance", given.proxies.over_quota_weight_share},
           {"tenants", tenants},
           {"useCases", uses}}}};
-    if (given.proxies.peers) {
+    if (given.proxies.may_exchange_datagrams) {
         made["peer_listen"] = to_text(peers_.at(proxy));
         for (index other = 0; other < given.proxies.count; ++other)
             made["peers"].push_back(to_text(datagrams_->as_seen(proxy, other)));
         made["peers_all"] = to_text(datagrams_->all_as_seen(proxy));
     }
-    if (given.proxies.known != known_list::none) {
-        const bool old = knows_old(given, proxy);
+    if (given.proxies.initial_list != initial_list_kind::none) {
+        const bool old = starts_with_stale_list(given, proxy);
         json members = json::array();
-        for (const auto &each : stage_.list.known_by(given, proxy))
+        for (const auto &each : stage_.list.initial_members_of(given, proxy))
             members.push_back(json::parse(list_port::entry(given, each, each.server == stage_.servers.size(),
                                                            where_(proxy, each.server))));
         made["known"] = {
@@ -421,10 +421,10 @@
     }
     if (given.proxies.shared_list)
         made["startup"] = {{"list_service", "shared"},
-                           {"lists_per_s", list_terms(given).snapshots_per_second}};
+                           {"lists_per_s", list_poll_settings(given).snapshots_per_second}};
     if (given.proxies.snapshots)
         made["startup"]["snapshot"] = folder_ + "/p" + std::to_string(proxy) + ".list";
-    if (given.fleet.aside)
+    if (given.fleet.cache_aside)
         made["settings"]["familyInfo"] = {{"mode", "aside"}, {"originKind", 1}};
     return made.dump(2) + "\n";
 }
--- a/src/testbed/processes/fleet_ports.hpp
+++ b/src/testbed/processes/fleet_ports.hpp
@@ -24,7 +24,8 @@
 
 class fleet_ports {
 public:
-    fleet_ports(loop &in, stage &of, const fleet_places &where = {}, const part_options &parts = {});
+    fleet_ports(loop &in, run_environment &of, const fleet_places &where = {},
+                const part_options &parts = {});
     ~fleet_ports();
     fleet_ports(const fleet_ports &) = delete;
     fleet_ports &operator=(const fleet_ports &) = delete;
@@ -57,7 +58,7 @@
     void connection(index server, bool begins); // one came to a server, or is over
 
     loop &loop_;
-    stage &stage_;
+    run_environment &stage_;
     std::vector<std::unique_ptr<server_port>> servers_;
     std::vector<std::string> hosts_;
     std::vector<address> list_addresses_;
--- a/src/testbed/processes/list_port.cpp
+++ b/src/testbed/processes/list_port.cpp
@@ -11,7 +11,7 @@
 namespace harrierpass::testbed {
 
 list_port::list_port(loop &in, const experiment &given, member_list &list, list_service &service,
-                     witness &sees, index proxy, const address &at, const server_places &where)
+                     observer &sees, index proxy, const address &at, const server_places &where)
     : loop_(in), given_(given), list_(list), service_(service), sees_(sees), proxy_(proxy), where_(where),
       listening_(must_listen(at)), at_(local_address(listening_)), chance_(proxy + 17) {
     loop_.watch(listening_.get(), EPOLLIN, [this](std::uint32_t) { accept(); });
@@ -75,7 +75,7 @@
     if (with.refused) {
         if (on_call)
             on_call(list_call::refused, 0);
-        return to->send(text_answer(503, "Retry-After: " + std::to_string(with.come_back) + "\r\n", {}));
+        return to->send(text_answer(503, "Retry-After: " + std::to_string(with.retry_after) + "\r\n", {}));
     }
     std::string text = "{\"revision\":" + std::to_string(with.revision) +
                        ",\"complete\":" + (with.whole ? "true" : "false") + ",\"members\":[";
@@ -88,10 +88,10 @@
     // Told is what is written: taken down first, so that nothing is forgotten if this process ends now.
     if (with.whole)
         for (const auto &each : list_.all())
-            sees_.told(proxy_, each.server, each.state);
+            sees_.endpoint_state_notified(proxy_, each.server, each.state);
     else
         for (const auto &each : with.members)
-            sees_.told(proxy_, each.server, each.state);
+            sees_.endpoint_state_notified(proxy_, each.server, each.state);
     to->send(text);
 }
 
--- a/src/testbed/processes/list_port.hpp
+++ b/src/testbed/processes/list_port.hpp
@@ -16,7 +16,7 @@
 
 class list_port {
 public:
-    list_port(loop &in, const experiment &given, member_list &list, list_service &service, witness &sees,
+    list_port(loop &in, const experiment &given, member_list &list, list_service &service, observer &sees,
               index proxy, const address &at, const server_places &where);
     ~list_port();
     list_port(const list_port &) = delete;
@@ -35,12 +35,12 @@
     const experiment &given_;
     member_list &list_;
     list_service &service_;
-    witness &sees_;
+    observer &sees_;
     const index proxy_;
     const server_places &where_;
     tcp_socket listening_;
     address at_;
-    chance chance_;
+    random_generator chance_;
     std::unordered_map<std::uint64_t, std::shared_ptr<channel>> open_; // by tag
     std::unordered_map<std::uint64_t, std::uint64_t> calls_;           // by tag
     std::uint64_t next_ = 1;
--- a/src/testbed/processes/server_port.cpp
+++ b/src/testbed/processes/server_port.cpp
@@ -25,7 +25,7 @@
     at_ = local_address(listening_);
     listening_.close();
     if (number_ < fleet_.size()) {
-        life_ = fleet_.at(number_).life();
+        life_ = fleet_.at(number_).incarnation();
         fleet_.at(number_).on_change = [this] { follow(); };
     }
     follow();
@@ -51,8 +51,8 @@
     const bool is_server = number_ < fleet_.size();
     const bool up = !is_server || fleet_.at(number_).up();
     const bool silent = is_server && fleet_.at(number_).silent();
-    if (is_server && (life_ != fleet_.at(number_).life() || !up) && !silent) {
-        life_ = fleet_.at(number_).life();
+    if (is_server && (life_ != fleet_.at(number_).incarnation() || !up) && !silent) {
+        life_ = fleet_.at(number_).incarnation();
         const auto all = std::move(open_);
         open_.clear();
         for (const auto &[tag, each] : all) {
@@ -118,14 +118,14 @@
 
 void server_port::connection(bool begins) {
     if (begins && number_ < fleet_.size())
-        fleet_.at(number_).dialled();
+        fleet_.at(number_).on_connection_opened();
     if (on_connection)
         on_connection(number_, begins);
 }
 
 void server_port::over(std::uint64_t tag) {
     if (const auto found = in_hand_.find(tag); found != in_hand_.end()) {
-        fleet_.judge.over(found->second.op, found->second.attempt, number_);
+        fleet_.event_observer.attempt_ended(found->second.op, found->second.attempt, number_);
         in_hand_.erase(found);
     }
 }
@@ -142,9 +142,9 @@
     std::string_view name = head.header("X-Class");
     if (name.empty())
         name = path.substr(0, path.find('/'));
-    const auto &uses = fleet_.given.use_cases;
-    const auto use =
-        std::find_if(uses.begin(), uses.end(), [&](const use_case_spec &each) { return each.name == name; });
+    const auto &uses = fleet_.settings.use_cases;
+    const auto use = std::find_if(uses.begin(), uses.end(),
+                                  [&](const request_class_settings &each) { return each.name == name; });
     const std::string id(head.header("X-Request-Id"));
     if (id.empty() || use == uses.end())
         return on->send(text_answer(id.empty() ? 404 : 400, {}, {}));
@@ -158,8 +158,8 @@
     const auto [end, bad] = std::from_chars(key.data(), key.data() + key.size(), what.key);
     if (bad != std::errc{} || end != key.data() + key.size())
         what.key = ring_hash(key);
-    fleet_.judge.meet(what.op, what.attempt, what.use_case);
-    fleet_.judge.received(what.op, what.attempt, number_, loop_.clock.now());
+    fleet_.event_observer.foreign_request_seen(what.op, what.attempt, what.use_case);
+    fleet_.event_observer.attempt_received(what.op, what.attempt, number_, loop_.clock.now());
     in_hand_[on->tag] = {what.op, what.attempt};
     const auto done = [this, here = std::weak_ptr(here_), weak = std::weak_ptr(on), key, id,
                        write = what.write](const result &with) {
@@ -197,7 +197,7 @@
         return on->send(text_answer(503, "X-Not-Run: 1\r\n", {}));
     case result::kind::missed:
         return on->send(text_answer(404, note, {}));
-    case result::kind::spoilt:
+    case result::kind::malformed:
         return on->send(noise[spoilt_++ % noise.size()]);
     }
 }
@@ -207,7 +207,7 @@
     const bool silent = number_ < fleet_.size() && fleet_.at(number_).silent();
     for (const auto &[tag, each] : open_)
         if (!silent && !in_hand_.contains(tag) && !each->heard() &&
-            each->used + fleet_.given.fleet.idle < loop_.clock.now())
+            each->used + fleet_.settings.fleet.idle_timeout < loop_.clock.now())
             idle.push_back(each);
     for (const auto &each : idle) {
         each->end(false);
--- a/src/testbed/processes/worker_process.cpp
+++ b/src/testbed/processes/worker_process.cpp
@@ -191,7 +191,7 @@
         link_.on_end = [this] { over_ = true; };
         link_.on_message = [this](const part_message &what) { heard(what); };
         if (setup.at("role") == "list")
-            be_list(setup, all_servers(given));
+            be_list(setup, total_server_count(given));
         else
             be_servers(setup);
     }
@@ -240,8 +240,8 @@
             if (host_of(given_, i) != setup.at("host").get<index>())
                 continue;
             auto &server = fleet_->at(i);
-            if (!cold && given_.fleet.warm && i < given_.fleet.servers)
-                server.fill_popular();
+            if (!cold && given_.fleet.starts_warm && i < given_.fleet.servers)
+                server.fill_most_popular();
             if (cold && server.up())
                 server.start_cold(loop_.clock.now());
             const auto at = parse_address(setup.at("addresses").at(i).get<std::string>());
@@ -295,11 +295,11 @@
     void heard(const part_message &what) {
         switch (what.is) {
         case part_message::kind::fault: {
-            fault_spec fault;
+            fault_settings fault;
             fault.kind = static_cast<fault_kind>(what.small);
             fault.factor = what.x;
             fault.use_case = what.b;
-            return set_model(fleet_->at(what.a), fault, what.flag != 0);
+            return apply_server_fault(fleet_->at(what.a), fault, what.flag != 0);
         }
         case part_message::kind::fetched:
             if (const auto done = take(fetching_, what.number))
--- a/src/testbed/program/fleet_shell.cpp
+++ b/src/testbed/program/fleet_shell.cpp
@@ -24,16 +24,16 @@
     "'end' before any of them ends it; quit";
 
 // One line typed in: what is said of it.
-std::string obey(stage &all, const std::string &line) {
+std::string obey(run_environment &all, const std::string &line) {
     std::istringstream words(line);
     std::string word;
     words >> word;
     const bool ends = word == "end" && words >> word;
     const index most = all.servers.size();
-    fault_spec fault;
+    fault_settings fault;
     static constexpr std::array kinds = {
         fault_kind::crash,       fault_kind::hang,        fault_kind::vanish,    fault_kind::slow,
-        fault_kind::errors,      fault_kind::spoilt,      fault_kind::one_way,   fault_kind::origin_slow,
+        fault_kind::errors,      fault_kind::malformed,   fault_kind::one_way,   fault_kind::origin_slow,
         fault_kind::origin_stop, fault_kind::list_silent, fault_kind::list_stale};
     const auto server = [&](index &to) {
         long number = -1;
@@ -46,8 +46,8 @@
         index number = 0;
         if (!server(number))
             return word + ": needs " + numbers;
-        all.list.happened(number, word == "leave" ? endpoint_state::draining : endpoint_state::ready,
-                          all.servers.at(number).started());
+        all.list.record_change(number, word == "leave" ? endpoint_state::draining : endpoint_state::ready,
+                               all.servers.at(number).started());
         return "done";
     }
     for (const auto kind : kinds) {
@@ -59,7 +59,7 @@
             if (!server(fault.servers[0]))
                 return word + ": needs " + numbers;
         }
-        if (kind == fault_kind::slow || kind == fault_kind::errors || kind == fault_kind::spoilt ||
+        if (kind == fault_kind::slow || kind == fault_kind::errors || kind == fault_kind::malformed ||
             kind == fault_kind::origin_slow)
             if (!(words >> fault.factor) || !(fault.factor > 0))
                 return word + ": needs a factor or share above 0";
@@ -73,7 +73,7 @@
 
 } // namespace
 
-int serve_fleet(const experiment &given, const shell_options &how) {
+int serve_fleet(const experiment &settings, const shell_options &how) {
     sigset_t taken;
     sigemptyset(&taken);
     for (const int each : {SIGTERM, SIGINT, SIGPIPE})
@@ -83,10 +83,10 @@
     const tcp_socket signals(signalfd(-1, &taken, SFD_CLOEXEC | SFD_NONBLOCK));
 
     loop in;
-    stage all(in.clock, given, given.seeds[0], 0.05);
-    all.judge.strangers = true;
+    run_environment all(in.clock, settings, settings.seeds[0], 0.05);
+    all.checker.strangers = true;
     if (how.chatty)
-        all.judge.trace = &std::cout;
+        all.checker.trace = &std::cout;
     const fleet_ports ports(in, all, how.where);
     bool ends = false;
     in.watch(signals.get(), EPOLLIN, [&](std::uint32_t) { ends = true; });
@@ -114,9 +114,9 @@
         });
     if (!how.configuration.empty()) {
         std::ofstream to(how.configuration);
-        to << ports.configuration(0, how.listen, given.seeds[0]);
+        to << ports.configuration(0, how.listen, settings.seeds[0]);
         if (!to.flush())
-            throw bad_experiment(how.configuration + ": cannot be written");
+            throw experiment_error(how.configuration + ": cannot be written");
         std::cout << "configuration: " << how.configuration << '\n';
     }
     std::cout << "discovery at " << ports.list_at(0) << ", servers at";
@@ -126,12 +126,12 @@
     if (how.scripted)
         all.start_faults();
     in.run([&] { return ends; });
-    std::cout << "executions " << all.judge.executions() << ", effects " << all.judge.effects()
-              << ", fetches " << all.servers.source().fetches() << ", rules broken " << all.judge.broken()
+    std::cout << "executions " << all.checker.executions() << ", effects " << all.checker.effects()
+              << ", fetches " << all.servers.source().fetches() << ", rules broken " << all.checker.broken()
               << '\n';
-    for (const auto &each : all.judge.stories())
+    for (const auto &each : all.checker.stories())
         std::cout << each;
-    return all.judge.broken() > 0 ? 1 : 0;
+    return all.checker.broken() > 0 ? 1 : 0;
 }
 
 } // namespace harrierpass::testbed
--- a/src/testbed/program/fleet_shell.hpp
+++ b/src/testbed/program/fleet_shell.hpp
@@ -17,6 +17,6 @@
 };
 
 // Until SIGTERM, SIGINT or "quit". The end of the input ends nothing: it may be a background job's.
-int serve_fleet(const experiment &given, const shell_options &how);
+int serve_fleet(const experiment &settings, const shell_options &how);
 
 } // namespace harrierpass::testbed
--- a/src/testbed/program/main.cpp
+++ b/src/testbed/program/main.cpp
@@ -56,18 +56,18 @@
     return code;
 }
 
-std::vector<run_result> run_all(const run_command &how, const experiment &given, std::ostream *results) {
+std::vector<run_result> run_all(const run_command &how, const experiment &settings, std::ostream *results) {
     struct task {
-        const variant_spec *as;
+        const variant_settings *as;
         std::uint32_t seed;
     };
     std::vector<task> tasks;
-    for (const std::uint32_t seed : how.seeds.empty() ? given.seeds : how.seeds)
-        for (const auto &each : given.variants)
+    for (const std::uint32_t seed : how.seeds.empty() ? settings.seeds : how.seeds)
+        for (const auto &each : settings.variants)
             if (how.only.empty() || std::find(how.only.begin(), how.only.end(), each.name) != how.only.end())
                 tasks.push_back({&each, seed});
     if (tasks.empty())
-        throw bad_experiment(given.name + ": has no variant of that name");
+        throw experiment_error(settings.name + ": has no variant of that name");
     std::vector<run_result> made(tasks.size());
     std::atomic<std::size_t> next = 0;
     std::mutex lock;
@@ -81,8 +81,8 @@
             options.trace = trace.is_open() && i == 0 ? &trace : nullptr;
             socket_options on = how.sockets;
             on.progress = options.progress;
-            made[i] = how.is_virtual ? run_virtual(given, *tasks[i].as, tasks[i].seed, options)
-                                     : run_on_sockets(given, *tasks[i].as, tasks[i].seed, on);
+            made[i] = how.is_virtual ? run_virtual(settings, *tasks[i].as, tasks[i].seed, options)
+                                     : run_on_sockets(settings, *tasks[i].as, tasks[i].seed, on);
             const std::lock_guard hold(lock);
             print(std::cout, made[i], true);
         }
@@ -95,7 +95,7 @@
         each.join();
     if (results != nullptr)
         for (const auto &each : made)
-            *results << to_json(each, given) << '\n';
+            *results << to_json(each, settings) << '\n';
     return made;
 }
 
@@ -104,7 +104,7 @@
     std::ofstream to(path);
     to << plot_svg(runs, faults);
     if (!to.flush())
-        throw bad_experiment(path + ": cannot be written");
+        throw experiment_error(path + ": cannot be written");
     std::cout << "plot: " << path << '\n';
 }
 
@@ -114,7 +114,7 @@
     if (!how.results.empty()) {
         results.open(how.results, std::ios::app);
         if (!results)
-            throw bad_experiment(how.results + ": cannot be written");
+            throw experiment_error(how.results + ": cannot be written");
     }
     for (const auto &file : how.files) {
         if (compares && file.ends_with(".jsonl")) {
@@ -124,18 +124,18 @@
             }
             continue;
         }
-        experiment given = read_experiment(file, how.large);
-        given.proxies.shared_list = given.proxies.shared_list && !how.agent_lists;
-        for (auto &each : given.variants)
-            if (!how.by.empty() && each.breaks == plant::nothing) {
-                each.by = decider_of(how.by);
+        experiment settings = read_experiment(file, how.large);
+        settings.proxies.shared_list = settings.proxies.shared_list && !how.agent_lists;
+        for (auto &each : settings.variants)
+            if (!how.by.empty() && each.violation == injected_violation::nothing) {
+                each.policy = parse_policy_kind(how.by);
                 each.name = how.by;
             }
-        const auto runs = run_all(how, given, results.is_open() ? &results : nullptr);
+        const auto runs = run_all(how, settings, results.is_open() ? &results : nullptr);
         all.insert(all.end(), runs.begin(), runs.end());
         if (!how.plot.empty())
-            write_plot(how.files.size() == 1 ? how.plot : how.plot + "/" + given.name + ".svg", runs,
-                       shades_of(given));
+            write_plot(how.files.size() == 1 ? how.plot : how.plot + "/" + settings.name + ".svg", runs,
+                       shades_of(settings));
     }
     if (compares || all.size() > 1)
         print(std::cout, compare(all));
@@ -145,7 +145,7 @@
 int be_proxy(const std::string &by, const std::string &configuration) {
     std::string path = configuration, program = "harrierpass_testbed";
     std::array<char *, 3> words = {program.data(), path.data(), nullptr};
-    return proxy::run(2, words.data(), maker_of(by));
+    return proxy::run(2, words.data(), policy_factory_for(by));
 }
 
 struct soak_command {
@@ -162,12 +162,12 @@
     std::mutex lock;
     unsigned passed = 0, failed = 0, slow = 0;
     const auto play = [&](std::uint32_t seed) {
-        const experiment given =
+        const experiment settings =
             parse_experiment(soak_experiment(seed, how.length), "soak-" + std::to_string(seed) + ".toml");
         socket_options on = how.sockets;
         if (!on.logs.empty())
             on.logs += "/" + std::to_string(seed);
-        const run_result made = run_on_sockets(given, given.variants[0], seed, on);
+        const run_result made = run_on_sockets(settings, settings.variants[0], seed, on);
         const std::lock_guard hold(lock);
         ++(made.broken() > 0 ? failed : !made.void_because.empty() ? slow : passed);
         print(std::cout, made, true);
@@ -334,23 +334,23 @@
             std::ofstream drawn;
             if (!picture.empty())
                 drawn.open(picture);
-            tell_subsets(read_experiment(preferred, large), chosen, std::cout,
-                         picture.empty() ? nullptr : &drawn);
+            print_subset_table(read_experiment(preferred, large), chosen, std::cout,
+                               picture.empty() ? nullptr : &drawn);
             if (!picture.empty() && !drawn.flush())
-                throw bad_experiment(picture + ": cannot be written");
+                throw experiment_error(picture + ": cannot be written");
             return well;
         }
         if (*proxies)
             return breaks.empty() ? be_proxy(by, configuration)
-                                  : run_plant_proxy(plant_of(breaks), configuration);
+                                  : run_plant_proxy(parse_injected_violation(breaks), configuration);
         if (*loads) {
-            experiment given = read_experiment(file);
-            given.load.rate = rate >= 0 ? rate : given.load.rate;
-            given.load.closed = closed >= 0 ? static_cast<index>(closed) : given.load.closed;
-            given.load.think = think >= 0 ? think : given.load.think;
-            given.length = length > 0 ? length : given.length;
-            given.settle = 0;
-            return tell(run_load(given, load));
+            experiment settings = read_experiment(file);
+            settings.load.rate = rate >= 0 ? rate : settings.load.rate;
+            settings.load.closed = closed >= 0 ? static_cast<index>(closed) : settings.load.closed;
+            settings.load.think_time = think >= 0 ? think : settings.load.think_time;
+            settings.length = length > 0 ? length : settings.length;
+            settings.settle = 0;
+            return tell(run_load(settings, load));
         }
         if (*runs || *compares)
             return run(how, static_cast<bool>(*compares));
--- a/src/testbed/program/subset_table.cpp
+++ b/src/testbed/program/subset_table.cpp
@@ -25,10 +25,10 @@
     std::size_t moved = 0;
 };
 
-std::vector<coverage_endpoint> servers_of(const experiment &given, index count) {
+std::vector<coverage_endpoint> servers_of(const experiment &settings, index count) {
     std::vector<coverage_endpoint> made;
     for (index i = 0; i < count; ++i)
-        made.push_back({server_id(i), 1, zone_of(given, i)});
+        made.push_back({server_id(i), 1, zone_of(settings, i)});
     return made;
 }
 
@@ -40,7 +40,7 @@
 }
 
 // The busiest server over its fair share first, by lines.
-void draw(std::ostream &to, const experiment &given, const coverage_report &of) {
+void draw(std::ostream &to, const experiment &settings, const coverage_report &of) {
     constexpr double wide = 860, high = 220, edge = 40;
     const auto bars = [&](const auto &values, double top, const std::string &name) {
         const double most = std::max(1e-9, static_cast<double>(*std::ranges::max_element(values)));
@@ -55,7 +55,7 @@
     };
     to << std::fixed << std::setprecision(2) << "<svg xmlns='http://www.w3.org/2000/svg' width='" << wide
        << "' height='" << 3 * high + 60 << "' font-family='sans-serif'>\n<text x='" << edge
-       << "' y='24' font-size='16' font-weight='bold'>Subsets of " << given.name << ", by server</text>\n";
+       << "' y='24' font-size='16' font-weight='bold'>Subsets of " << settings.name << ", by server</text>\n";
     bars(of.relative_load, 40, "load over its fair share");
     bars(of.proxies_per_endpoint, 40 + high, "proxies that use it");
     bars(of.idle_connections, 40 + 2 * high, "connections");
@@ -64,29 +64,30 @@
 
 } // namespace
 
-void tell_subsets(const experiment &given, const subset_options &how, std::ostream &to, std::ostream *plot) {
-    const subsets::subset_costs prices{given.prices.handshake, given.prices.origin,
-                                       given.fleet.idle * idle_reuse_share};
-    const index servers = given.fleet.servers, count = given.proxies.count;
-    auto parts = parts_of_load(given);
+void print_subset_table(const experiment &settings, const subset_options &how, std::ostream &to,
+                        std::ostream *plot) {
+    const subsets::subset_costs prices{settings.costs.handshake, settings.costs.origin,
+                                       settings.fleet.idle_timeout * idle_reuse_share};
+    const index servers = settings.fleet.servers, count = settings.proxies.count;
+    auto parts = parts_of_load(settings);
     parts.resize(count, 1);
-    const double rate = how.rate >= 0 ? how.rate : given.load.rate;
+    const double rate = how.rate >= 0 ? how.rate : settings.load.rate;
     double work = 0;
-    for (const auto &each : given.use_cases)
+    for (const auto &each : settings.use_cases)
         work += each.share * each.work;
     std::vector<coverage_proxy> proxies;
     for (index me = 0; me <= count; ++me) {
         const double own = rate / count * (me < count ? parts[me] : 1);
         const subsets::traffic_sample seen{own, own * work * answers, how.fetched, how.loss, 0};
         const index level = how.level >= 0 ? static_cast<index>(how.level)
-                            : subsets::subsetting_never_helps(settings_for(given, me))
+                            : subsets::subsetting_never_helps(router_settings_for(settings, me))
                                 ? 0
                                 : subsets::best_level(prices, seen, servers, count, 0);
         proxies.push_back({me, own, level});
     }
     const auto one_more = proxies;
     proxies.pop_back();
-    const auto all = servers_of(given, servers + std::max<index>(1, servers / 10));
+    const auto all = servers_of(settings, servers + std::max<index>(1, servers / 10));
     const std::vector<coverage_endpoint> now(all.begin(), all.begin() + servers),
         plus(all.begin(), all.begin() + servers + 1), less(now.begin(), now.end() - (servers > 1 ? 1 : 0)),
         tenth(all.begin() + servers / 10, all.end());
@@ -107,9 +108,9 @@
     const auto most = [](const auto &values) { return *std::ranges::max_element(values); };
     const auto least = [](const auto &values) { return *std::ranges::min_element(values); };
     if (plot != nullptr)
-        draw(*plot, given, found);
+        draw(*plot, settings, found);
     if (how.as_json) {
-        nlohmann::json made = {{"experiment", given.name},
+        nlohmann::json made = {{"experiment", settings.name},
                                {"dials_an_execution", found.new_connections_per_attempt},
                                {"dials_without", mesh.new_connections_per_attempt},
                                {"levels", levels},
@@ -133,7 +134,7 @@
         to << made.dump(2) << '\n';
         return;
     }
-    to << std::fixed << std::setprecision(3) << given.name << ": " << count << " proxies, " << servers
+    to << std::fixed << std::setprecision(3) << settings.name << ": " << count << " proxies, " << servers
        << " servers, " << rate << " executions a second\n\nlevel  proxies  servers each, about\n";
     for (index level = 0; level < levels.size(); ++level)
         if (levels[level] > 0)
--- a/src/testbed/program/subset_table.hpp
+++ b/src/testbed/program/subset_table.hpp
@@ -18,6 +18,7 @@
 };
 
 // The plot, SVG, goes to `plot` where there is one.
-void tell_subsets(const experiment &given, const subset_options &how, std::ostream &to, std::ostream *plot);
+void print_subset_table(const experiment &settings, const subset_options &how, std::ostream &to,
+                        std::ostream *plot);
 
 } // namespace harrierpass::testbed
--- a/src/testbed/runs/baseline_policies.cpp
+++ b/src/testbed/runs/baseline_policies.cpp
@@ -19,8 +19,8 @@
 
 class baseline final : public router {
 public:
-    baseline(decider by, router_settings given, std::uint32_t seed, double now)
-        : by_(by), given_(std::move(given)), chance_(seed), ask_at_(now) {
+    baseline(policy_kind by, router_settings settings, std::uint32_t seed, double now)
+        : by_(by), settings_(std::move(settings)), random_(seed), ask_at_(now) {
         wake(now);
     }
 
@@ -43,7 +43,7 @@
             to.state = each.state;
             to.cell = each.cell;
             to.zone = each.zone;
-            to.is_origin = given_.origin_kind != none && each.kind == given_.origin_kind;
+            to.is_origin = settings_.origin_kind != none && each.kind == settings_.origin_kind;
         }
         ready_.clear();
         ring_.clear();
@@ -56,7 +56,7 @@
                 continue;
             }
             ready_.push_back(i);
-            for (index k = 0; by_ == decider::plain_ring && k < points; ++k)
+            for (index k = 0; by_ == policy_kind::plain_ring && k < points; ++k)
                 ring_.emplace_back(ring_hash(servers_[i].id + ":" + std::to_string(k)), i);
         }
         std::sort(ring_.begin(), ring_.end());
@@ -71,7 +71,7 @@
         qry.generation = generation;
         qry.is = from;
         qry.live = true;
-        qry.to_origin = from.is_write && given_.origin_kind != none;
+        qry.to_origin = from.is_write && settings_.origin_kind != none;
         due_.push({from.deadline - margin, from.request, generation});
         place(now, from.request);
     }
@@ -139,7 +139,7 @@
     void place(double now, index id) {
         auto &qry = queries_[id];
         index to = qry.to_origin ? origin_ : choose(qry);
-        const bool may = qry.sent < given_.constraints.max_attempts && now < qry.is.deadline - margin;
+        const bool may = qry.sent < settings_.constraints.max_attempts && now < qry.is.deadline - margin;
         if (!may || to == none)
             return finish(id);
         qry.out = true;
@@ -156,9 +156,9 @@
             return std::find(qry.tried.begin(), qry.tried.end(), id) != qry.tried.end();
         };
         std::vector<index> open;
-        if (by_ == decider::plain_ring) {
+        if (by_ == policy_kind::plain_ring) {
             const std::uint64_t key = qry.is.has_key ? ring_hash(std::to_string(qry.is.key))
-                                                     : ring_hash(std::to_string(chance_.seed()));
+                                                     : ring_hash(std::to_string(random_.seed()));
             auto at = std::upper_bound(ring_.begin(), ring_.end(), std::pair(key, none));
             std::vector<index> found;
             const auto wanted = std::min(walked, ready_.size());
@@ -188,10 +188,10 @@
         if (open.empty())
             return none;
         const auto size = static_cast<std::uint32_t>(open.size());
-        const index one = open[chance_.below(size)];
-        if (by_ == decider::random)
+        const index one = open[random_.below(size)];
+        if (by_ == policy_kind::random)
             return one;
-        const index two = open[chance_.below(size)];
+        const index two = open[random_.below(size)];
         return servers_[two].in_flight < servers_[one].in_flight ? two : one;
     }
 
@@ -199,7 +199,7 @@
         auto &qry = queries_[id];
         const bool rejects = !qry.out && !qry.doubt;
         actions.push_back({rejects ? action_kind::reject_request : action_kind::fail_request, id, none, 0,
-                           rejects ? given_.constraints.max_retry_after : 0});
+                           rejects ? settings_.constraints.max_retry_after : 0});
         qry.answered = true;
         if (!qry.out)
             release(id);
@@ -210,9 +210,9 @@
         actions.push_back({action_kind::release_request, id, none, 0, 0});
     }
 
-    const decider by_;
-    const router_settings given_;
-    chance chance_;
+    const policy_kind by_;
+    const router_settings settings_;
+    random_generator random_;
     double ask_at_;
     std::vector<server> servers_;
     std::vector<index> ready_;
@@ -225,39 +225,39 @@
 
 } // namespace
 
-std::unique_ptr<router> make_decider(decider by, const router_settings &given, std::uint32_t seed,
-                                     double now) {
-    if (by == decider::module)
-        return subsets::make_subset_router(given, seed, now);
-    if (by == decider::whole_list)
-        return make_router(given, seed, now);
-    return std::make_unique<baseline>(by, given, seed, now);
+std::unique_ptr<router> make_policy(policy_kind by, const router_settings &settings, std::uint32_t seed,
+                                    double now) {
+    if (by == policy_kind::module)
+        return subsets::make_subset_router(settings, seed, now);
+    if (by == policy_kind::full_list)
+        return make_router(settings, seed, now);
+    return std::make_unique<baseline>(by, settings, seed, now);
 }
 
-decider_maker maker_of(decider by) {
+policy_factory policy_factory_for(policy_kind by) {
     switch (by) {
-    case decider::random:
-        return [](const router_settings &given, std::uint32_t seed, double now) {
-            return make_decider(decider::random, given, seed, now);
+    case policy_kind::random:
+        return [](const router_settings &settings, std::uint32_t seed, double now) {
+            return make_policy(policy_kind::random, settings, seed, now);
         };
-    case decider::least_of_two:
-        return [](const router_settings &given, std::uint32_t seed, double now) {
-            return make_decider(decider::least_of_two, given, seed, now);
+    case policy_kind::less_loaded_of_two:
+        return [](const router_settings &settings, std::uint32_t seed, double now) {
+            return make_policy(policy_kind::less_loaded_of_two, settings, seed, now);
         };
-    case decider::plain_ring:
-        return [](const router_settings &given, std::uint32_t seed, double now) {
-            return make_decider(decider::plain_ring, given, seed, now);
+    case policy_kind::plain_ring:
+        return [](const router_settings &settings, std::uint32_t seed, double now) {
+            return make_policy(policy_kind::plain_ring, settings, seed, now);
         };
-    case decider::whole_list:
+    case policy_kind::full_list:
         return make_router;
-    case decider::module:
+    case policy_kind::module:
         break;
     }
     return subsets::make_subset_router;
 }
 
-decider_maker maker_of(const std::string &name) {
-    return maker_of(decider_of(name));
+policy_factory policy_factory_for(const std::string &name) {
+    return policy_factory_for(parse_policy_kind(name));
 }
 
 } // namespace harrierpass::testbed
--- a/src/testbed/runs/baseline_policies.hpp
+++ b/src/testbed/runs/baseline_policies.hpp
@@ -17,13 +17,13 @@
 
 namespace harrierpass::testbed {
 
-// The same as a plain function, as the proxy takes it; throws bad_experiment for a name that is none.
-using decider_maker = std::unique_ptr<router> (*)(const router_settings &given, std::uint32_t seed,
-                                                  double now);
-decider_maker maker_of(decider by);
-decider_maker maker_of(const std::string &name);
+// The same as a plain function, as the proxy takes it; throws experiment_error for a name that is none.
+using policy_factory = std::unique_ptr<router> (*)(const router_settings &settings, std::uint32_t seed,
+                                                   double now);
+policy_factory policy_factory_for(policy_kind by);
+policy_factory policy_factory_for(const std::string &name);
 
-std::unique_ptr<router> make_decider(decider by, const router_settings &given, std::uint32_t seed,
-                                     double now);
+std::unique_ptr<router> make_policy(policy_kind by, const router_settings &settings, std::uint32_t seed,
+                                    double now);
 
 } // namespace harrierpass::testbed
--- a/src/testbed/runs/socket_run.cpp
+++ b/src/testbed/runs/socket_run.cpp
@@ -50,7 +50,7 @@
 // Where logs and configurations are; a temporary folder goes with the run.
 class run_folder {
 public:
-    explicit run_folder(std::string given) : path_(std::move(given)) {
+    explicit run_folder(std::string path) : path_(std::move(path)) {
         if (path_.empty()) {
             std::string name =
                 (std::filesystem::temp_directory_path() / "harrierpass_testbed-XXXXXX").string();
@@ -76,44 +76,47 @@
 };
 
 // As many descriptors as this process may have; too few are told before anything starts.
-void raise_descriptors(const experiment &given, std::size_t links) {
+void raise_descriptors(const experiment &settings, std::size_t links) {
     rlimit most{};
     getrlimit(RLIMIT_NOFILE, &most);
     most.rlim_cur = most.rlim_max;
     setrlimit(RLIMIT_NOFILE, &most);
-    const std::size_t needed = fleet_ports::descriptors(given, links);
+    const std::size_t needed = fleet_ports::descriptors(settings, links);
     if (needed > most.rlim_cur)
-        throw bad_experiment(given.name + ": needs " + std::to_string(needed) +
-                             " descriptors on sockets, and this process may have " +
-                             std::to_string(most.rlim_cur) + " (ulimit -n); in virtual time it needs none");
+        throw experiment_error(settings.name + ": needs " + std::to_string(needed) +
+                               " descriptors on sockets, and this process may have " +
+                               std::to_string(most.rlim_cur) + " (ulimit -n); in virtual time it needs none");
 }
 
 class whole_run {
 public:
-    whole_run(const experiment &given, const variant_spec &as, std::uint32_t seed, const socket_options &how)
-        : given_(given), as_(as), how_(how), folder_(how.logs),
-          all_(loop_.clock, given, seed, slack, exact_for(given)),
-          fleet_((raise_descriptors(given, all_.links.size()), loop_), all_, {}, {how.self, folder_.path()}),
-          port_(loop_, given, all_.people, all_.sees, given.proxies.count), seeds_(seed + 3) {}
+    whole_run(const experiment &settings, const variant_settings &as, std::uint32_t seed,
+              const socket_options &how)
+        : settings_(settings), as_(as), how_(how), folder_(how.logs),
+          all_(loop_.clock, settings, seed, slack, exact_for(settings)),
+          fleet_((raise_descriptors(settings, all_.links.size()), loop_), all_, {},
+                 {how.self, folder_.path()}),
+          port_(loop_, settings, all_.load_clients, all_.event_observer, settings.proxies.count),
+          seeds_(seed + 3) {}
 
     run_result run() {
         const double began = steady_now();
         all_.on_proxy_kill = [this](index proxy, bool begins) { kill(proxy, begins); };
         all_.on_proxy_pause = [this](index proxy, bool begins) { pause(proxy, begins); };
         port_.troubled = [this](index proxy, double since) {
-            return all_.client_link_troubled(proxy, since);
+            return all_.client_link_was_faulty(proxy, since);
         };
         all_.on_proxy_signals = [this](index proxy) { send_signals(proxy); };
-        all_.on_proxy_restart = [this](index proxy, const fault_spec &fault) { restart(proxy, fault); };
-        proxies_.resize(given_.proxies.count);
-        const std::vector<bool> late = late_proxies(given_);
+        all_.on_proxy_restart = [this](index proxy, const fault_settings &fault) { restart(proxy, fault); };
+        proxies_.resize(settings_.proxies.count);
+        const std::vector<bool> late = late_starting_proxies(settings_);
         const double limit = loop_.clock.now() + ready_limit;
         loop_.run([&] { return fleet_.ready() || loop_.clock.now() > limit; });
         if (!fleet_.ready())
-            throw bad_experiment("a process of the world was not ready in time; see its log with --logs");
+            throw experiment_error("a process of the world was not ready in time; see its log with --logs");
         const double starts = loop_.clock.now();
         // Where all start together the load does not wait, nor do the faults of its first moment.
-        if (given_.proxies.together)
+        if (settings_.proxies.start_with_load)
             all_.start();
         for (index i = 0; i < proxies_.size(); ++i)
             if (!late[i])
@@ -127,24 +130,26 @@
         // Where they start together the load is there already, and some may wait for their turn at the list.
         loop_.run([&] {
             return ready() ||
-                   loop_.clock.now() > starts + (given_.proxies.together ? given_.length : ready_limit);
+                   loop_.clock.now() >
+                       starts + (settings_.proxies.start_with_load ? settings_.length : ready_limit);
         });
-        if (!ready() && !given_.proxies.together)
-            throw bad_experiment("a proxy was not ready in time; see its log with --logs");
+        if (!ready() && !settings_.proxies.start_with_load)
+            throw experiment_error("a proxy was not ready in time; see its log with --logs");
         const double all_up = loop_.clock.now() - starts;
-        if (!given_.proxies.together)
+        if (!settings_.proxies.start_with_load)
             all_.start();
         for (index i = 0; i < proxies_.size(); ++i)
-            for (index j = 0; j < given_.load.idle; ++j)
+            for (index j = 0; j < settings_.load.idle_connections; ++j)
                 keep_idle(i, j);
-        const double end = loop_.clock.now() + given_.length + wind_down;
+        const double end = loop_.clock.now() + settings_.length + wind_down;
         double told = loop_.clock.now();
         loop_.run([&] {
             if (how_.progress != nullptr && loop_.clock.now() - told > 5) {
                 told = loop_.clock.now();
-                *how_.progress << "  " << given_.name << ' ' << as_.name << ": "
-                               << static_cast<int>(told - all_.people.began()) << " of " << given_.length
-                               << " s, " << all_.people.operations() << " queries" << std::endl;
+                *how_.progress << "  " << settings_.name << ' ' << as_.name << ": "
+                               << static_cast<int>(told - all_.load_clients.began()) << " of "
+                               << settings_.length << " s, " << all_.load_clients.operations() << " queries"
+                               << std::endl;
             }
             return all_.done() || loop_.clock.now() > end;
         });
@@ -158,7 +163,7 @@
         loop_.run([&] { return fleet_.ended() || loop_.clock.now() > patience; });
         all_.events.gone(all_.own_events);
         all_.events.judge();
-        all_.judge.finish();
+        all_.checker.finish();
         run_result made = all_.result(as_, "sockets");
         if (!done)
             made.void_because = "queries were still open long after the load";
@@ -200,26 +205,27 @@
                                     static_cast<double>(between->seen().bytes) / static_cast<double>(count));
         }
         made.wall = steady_now() - began;
-        judge_lateness(made, given_);
+        judge_lateness(made, settings_);
         return made;
     }
 
-    static void judge_lateness(run_result &of, const experiment &given) {
+    static void judge_lateness(run_result &of, const experiment &settings) {
         double shortest = 1e9;
-        for (const auto &each : given.use_cases)
-            shortest = std::min(shortest, each.decides.latency_objective);
+        for (const auto &each : settings.use_cases)
+            shortest = std::min(shortest, each.routing.latency_objective);
         const double most = std::max(least_late, late_share * shortest);
-        const bool pauses = std::any_of(given.faults.begin(), given.faults.end(), [](const fault_spec &each) {
-            return each.kind == fault_kind::client_pause; // late on purpose
-        });
+        const bool pauses =
+            std::any_of(settings.faults.begin(), settings.faults.end(), [](const fault_settings &each) {
+                return each.kind == fault_kind::client_pause; // late on purpose
+            });
         if (!pauses && of.lateness_p99 > most)
             of.void_because = "the machine was too slow: the load generator was late by " +
                               std::to_string(of.lateness_p99 * 1000) + " ms in its slowest hundredth";
     }
 
 private:
-    std::function<double()> exact_for(const experiment &given) {
-        if (given.fleet.hosts == 0 && !given.list.own_process)
+    std::function<double()> exact_for(const experiment &settings) {
+        if (settings.fleet.hosts == 0 && !settings.list.own_process)
             return {};
         return [this] { return loop_.exact(); };
     }
@@ -264,18 +270,19 @@
             std::ostringstream text;
             text << in.rdbuf();
             here.log = std::make_unique<std::ofstream>(path + ".log", std::ios::app);
-            here.service = std::make_unique<proxy::service>(proxy::read_configuration(text.str()), *here.log,
-                                                            log_level::warning, maker_of(as_.by));
+            here.service =
+                std::make_unique<proxy::service>(proxy::read_configuration(text.str()), *here.log,
+                                                 log_level::warning, policy_factory_for(as_.policy));
             here.at = here.service->at();
             return look(number);
         }
         if (!here.process) {
             std::vector<std::string> command = {how_.program, path + ".json"};
-            if (as_.breaks != plant::nothing)
-                command = {how_.self, "proxy", "--plant", name_of(as_.breaks), path + ".json"};
-            else if (as_.by != decider::module)
-                command = {how_.self, "proxy", "--by", name_of(as_.by), path + ".json"};
-            if (given_.system.any())
+            if (as_.violation != injected_violation::nothing)
+                command = {how_.self, "proxy", "--plant", name_of(as_.violation), path + ".json"};
+            else if (as_.policy != policy_kind::module)
+                command = {how_.self, "proxy", "--by", name_of(as_.policy), path + ".json"};
+            if (settings_.system.any())
                 command = with_system_faults(std::move(command));
             here.process = std::make_unique<child_process>(loop_, command, path + ".log");
             here.process->on_listening = [this, number](const address &at) {
@@ -299,7 +306,7 @@
                     return;
                 }
                 crashes_ += left.leaves ? 0 : 1; // by itself
-                all_.sees.restarted(number, !left.leaves);
+                all_.event_observer.proxy_restarted(number, !left.leaves);
                 port_.place(number, std::nullopt);
                 if (left.leaves && left.again >= 0)
                     loop_.clock.after(left.again, [this, number] {
@@ -341,7 +348,7 @@
     }
 
     // Told to end: clients go on using what they have, and for a moment go on coming.
-    void restart(index number, const fault_spec &fault) {
+    void restart(index number, const fault_settings &fault) {
         auto &here = proxies_[number];
         if (fault.kind == fault_kind::proxy_late)
             return start(number, "127.0.0.1:0");
@@ -354,8 +361,8 @@
         here.process->signal(SIGTERM); // a second one is no news
         // The platform's patience ends at the earliest moment that its page allows.
         std::vector<double> deadlines;
-        for (const auto &each : given_.use_cases)
-            deadlines.push_back(each.statement_timeout);
+        for (const auto &each : settings_.use_cases)
+            deadlines.push_back(each.timeout);
         const auto stop = proxy::stop_schedule_for(proxy::longest_deadline(deadlines));
         loop_.clock.after(stop.earliest_kill, [this, number, now = ++here.stops] {
             auto &still = proxies_[number];
@@ -372,7 +379,7 @@
 
     // The same command with the library of system faults in it, which stands beside this program.
     std::vector<std::string> with_system_faults(std::vector<std::string> command) {
-        const auto &faults = given_.system;
+        const auto &faults = settings_.system;
         const std::string library =
             how_.self.substr(0, how_.self.rfind('/') + 1) + "harrierpass_system_faults.so";
         std::ostringstream plan;
@@ -416,10 +423,10 @@
     void kill(index number, bool begins) {
         auto &here = proxies_[number];
         if (!here.process)
-            throw bad_experiment("an embedded proxy cannot be killed: leave --embed out");
+            throw experiment_error("an embedded proxy cannot be killed: leave --embed out");
         if (begins && here.killed++ == 0) {
             here.ready = false;
-            all_.sees.restarted(number, true);
+            all_.event_observer.proxy_restarted(number, true);
             here.process->signal(SIGKILL); // its end is seen in the loop, as hundreds may die at once
             port_.place(number, std::nullopt);
         } else if (!begins && --here.killed == 0 && !here.ends) { // none is started once all were told to end
@@ -433,21 +440,21 @@
     void pause(index number, bool begins) {
         auto &here = proxies_[number];
         if (!here.process)
-            throw bad_experiment("an embedded proxy cannot be stopped: leave --embed out");
-        all_.sees.paused(number, begins);
+            throw experiment_error("an embedded proxy cannot be stopped: leave --embed out");
+        all_.event_observer.proxy_paused(number, begins);
         here.stopped += begins ? 1 : static_cast<index>(-1);
         here.process->signal(here.stopped > 0 ? SIGSTOP : SIGCONT);
     }
 
-    const experiment &given_;
-    const variant_spec &as_;
+    const experiment &settings_;
+    const variant_settings &as_;
     const socket_options &how_;
     loop loop_;
     run_folder folder_; // the processes' own, which are gone before it
-    stage all_;
+    run_environment all_;
     fleet_ports fleet_;
     client_port port_;
-    chance seeds_;
+    random_generator seeds_;
     std::map<std::string, double> counted_; // by the proxies, in all
     std::uint64_t crashes_ = 0;
     double stops_ = 0, stops_killed_ = 0; // by the script; of them, those that did not end before the kill
@@ -466,13 +473,13 @@
 
 } // namespace
 
-run_result run_on_sockets(const experiment &given, const variant_spec &as, std::uint32_t seed,
+run_result run_on_sockets(const experiment &settings, const variant_settings &as, std::uint32_t seed,
                           const socket_options &how) {
-    return whole_run(given, as, seed, how).run();
+    return whole_run(settings, as, seed, how).run();
 }
 
-load_result run_load(const experiment &given, const load_options &how) {
-    experiment asked = given;
+load_result run_load(const experiment &settings, const load_options &how) {
+    experiment asked = settings;
     asked.proxies.count = static_cast<index>(how.to.size());
     asked.faults.clear();
     loop in;
@@ -483,19 +490,20 @@
     for (index i = 0; i < how.to.size(); ++i) {
         const auto at = parse_address(how.to[i]);
         if (!at)
-            throw bad_experiment(how.to[i] + " is no address such as 127.0.0.1:9000");
+            throw experiment_error(how.to[i] + " is no address such as 127.0.0.1:9000");
         port.place(i, at);
         std::size_t heard = 0;
         for (index j = 0; j < how.idle; ++j) {
             const auto on =
                 std::make_shared<channel>(in, dial_soon(*at), http_reader::message_kind::response);
             if (!on->open())
-                throw bad_experiment("no descriptors for so many connections at rest");
+                throw experiment_error("no descriptors for so many connections at rest");
             on->on_message = [&heard](const auto &, const http_reader &) { ++heard; };
             on->on_end = [&heard](const auto &, channel::ending) { ++heard; };
             on->start(true);
-            on->send("GET /" + given.use_cases[0].name + "/1 HTTP/1.1\r\nHost: lab\r\nX-Request-Id: rest-" +
-                     std::to_string(i) + "-" + std::to_string(j) + "\r\n\r\n");
+            on->send("GET /" + settings.use_cases[0].name +
+                     "/1 HTTP/1.1\r\nHost: lab\r\nX-Request-Id: rest-" + std::to_string(i) + "-" +
+                     std::to_string(j) + "\r\n\r\n");
             resting.push_back(on);
         }
         const double limit = in.clock.now() + 10;
@@ -514,7 +522,7 @@
     load_result made;
     const double took = std::min(asked.length, steady_now() - began);
     auto &run = made.run;
-    run.experiment = given.name;
+    run.experiment = settings.name;
     run.variant = "load";
     run.mode = "load";
     run.seed = how.seed;
--- a/src/testbed/runs/socket_run.hpp
+++ b/src/testbed/runs/socket_run.hpp
@@ -15,7 +15,7 @@
     std::ostream *progress = nullptr;
 };
 
-run_result run_on_sockets(const experiment &given, const variant_spec &as, std::uint32_t seed,
+run_result run_on_sockets(const experiment &settings, const variant_settings &as, std::uint32_t seed,
                           const socket_options &how);
 
 struct load_options {
@@ -33,6 +33,6 @@
     std::uint64_t resident_kb = 0, descriptors = 0; // of `pid`, at the end of the load
 };
 // Only the load, against what is there already.
-load_result run_load(const experiment &given, const load_options &how);
+load_result run_load(const experiment &settings, const load_options &how);
 
 } // namespace harrierpass::testbed
--- a/src/testbed/runs/virtual_proxy.hpp
+++ b/src/testbed/runs/virtual_proxy.hpp
@@ -13,113 +13,116 @@
 
 // What this proxy did in all.
 struct proxy_counts {
-    std::uint64_t sent = 0, completed = 0, rejected = 0, aborted = 0, called_off = 0, timed_out = 0,
-                  resets = 0, connect_errors = 0, errors = 0, full = 0, probes = 0, probes_failed = 0,
-                  false_called_off = 0, false_probes = 0, found = 0, lists_lost = 0;
-    histogram found_after; // s from a server's trouble to this proxy's first suspicion of it
+    std::uint64_t sent = 0, completed = 0, rejected = 0, aborted = 0, canceled = 0, timed_out = 0, resets = 0,
+                  connect_errors = 0, errors = 0, overloaded = 0, health_checks = 0, health_checks_failed = 0,
+                  false_canceled = 0, false_health_checks = 0, faults_found = 0, polls_failed = 0;
+    histogram detection_time; // s from a server's trouble to this proxy's first suspicion of it
     void add(const proxy_counts &that);
 };
 
 class virtual_proxy {
 public:
-    virtual_proxy(stage &all, virtual_links &links, const variant_spec &as, index number, std::uint32_t seed);
+    virtual_proxy(run_environment &all, virtual_links &links, const variant_settings &as, index number,
+                  std::uint32_t seed);
 
     // A client's try has come whole, or its client has gone.
-    void take(const asking &query);
-    void leave(operation op, index attempt);
+    void receive(const asking &query);
+    void disconnect(operation op, index attempt);
     // A client's answer, as the network will bring it.
-    std::function<void(const asking &, reply, double come_back, bool body_fits)> on_answer;
+    std::function<void(const asking &, reply, double retry_after, bool body_fits)> on_answer;
 
     void kill(bool planned = false); // outright, or at a planned end; start() begins it anew
     // Told to end: takes no more, answers what it holds (3 s at most), and is gone then.
     void end(const std::function<void()> &gone);
-    bool takes() const {
-        return up() && !ends_ && (!calls_ || calls_->state() != discovery::poll_state::no_endpoints);
+    bool accepts() const {
+        return up() && !stopping_ &&
+               (!poll_schedule_ || poll_schedule_->state() != discovery::poll_state::no_endpoints);
     }
     void start();
     void pause(bool begins);
     bool up() const { return router_ != nullptr; }
     const proxy_counts &counts() const { return counts_; }
 
-    void changed(const membership::member &what); // the list's, published
+    void on_list_changed(const membership::member &what); // the list's, published
     // A server's process died, or its machine: connections to it break.
-    void broken(index server);
-    void link_changed(index server, const link_now &before, const link_now &now); // of its link to a server
-    void list_broken(); // the list service died: the call that is out breaks
+    void on_server_lost(index server);
+    void on_link_changed(index server, const link_now &before,
+                         const link_now &now); // of its link to a server
+    void on_list_service_died();               // the list service died: the call that is out breaks
 
 private:
     struct connection {
         double used = 0;
-        std::uint64_t life = 0; // of the server's process
-        bool cut = false;       // half open: the far end is dead
+        std::uint64_t incarnation = 0; // of the server's process
+        bool half_open = false;        // half open: the far end is dead
     };
-    struct held {
+    struct active_request {
         asking is;
         bool live = false, answered = false, gone = false;
-        index sent = 0;           // executions
-        index out_at = none;      // server of the one that is out
-        std::uint64_t serial = 0; // of the try in this place
-        std::uint64_t life = 0;   // of the server's process
+        index sent = 0;                // executions
+        index endpoint = none;         // server of the one that is out
+        std::uint64_t serial = 0;      // of the try in this place
+        std::uint64_t incarnation = 0; // of the server's process
         index missed_at = none;
-        bool connected = false, cut = false; // on a connection, which may be half open
+        bool connected = false, half_open = false; // on a connection, which may be half open
     };
     link_id to_server(index server) const { return {link_kind::proxy_server, number_, server}; }
     link_id to_list() const { return {link_kind::proxy_list, number_, 0}; }
-    bool take_connection(index server, bool &cut);
+    bool acquire_connection(index server, bool &half_open);
     void close_connections(index server);
-    void sweep();
-    void wait_end(const std::function<void()> &gone, double limit);
-    void know();      // the list that it starts with
-    void plan_call(); // where one list service serves all
+    void close_expired_connections();
+    void await_completion(const std::function<void()> &gone, double limit);
+    void load_initial_list(); // the list that it starts with
+    void schedule_poll();     // where one list service serves all
     discovery::snapshot_facts facts_of(const list_answer &with) const;
-    void call_list();
-    void list_came(std::uint64_t call, const list_answer &with);
-    void list_lost(std::uint64_t call);
+    void poll_list();
+    void on_list_received(std::uint64_t call, const list_answer &with);
+    void on_poll_failed(std::uint64_t call);
     void event(std::function<void()> what); // now, or when the proxy goes on
-    void obey();
-    void send(index query, index server);
-    void reach(index query, index server, index number, std::uint64_t serial, double sent, bool planted);
-    void come(index query, index number, std::uint64_t serial, outcome result, bool fetched);
-    void end_out(held &of, bool keeps = false); // keeps: its connection may be used again
-    void answer(index query, reply how, double come_back);
-    void probe(index server);
-    void subscribe();
-    void tell(endpoint_update_kind kind, const std::vector<membership::member> &members);
-    void time_up(index query, std::uint64_t serial);
+    void apply_actions();
+    void start_attempt(index query, index server);
+    void transmit(index query, index server, index number, std::uint64_t serial, double sent, bool planted);
+    void on_attempt_result(index query, index number, std::uint64_t serial, outcome result, bool fetched);
+    void end_attempt(active_request &of, bool keeps = false); // keeps: its connection may be used again
+    void respond(index query, reply how, double retry_after);
+    void check_health(index server);
+    void watch_list();
+    void update_endpoints(endpoint_update_kind kind, const std::vector<membership::member> &members);
+    void on_deadline(index query, std::uint64_t serial);
     void release(index query);
-    double way(index server) const;
-    bool planted(plant which, index every);
-    bool suspects(index server); // true: for no good reason
+    double network_latency(index server) const;
+    bool violates(injected_violation which, index every);
+    bool record_suspicion(index server); // true: for no good reason
 
     timeline &clock_;
-    const experiment &given_;
-    const variant_spec &as_;
+    const experiment &settings_;
+    const variant_settings &as_;
     const index number_;
     fleet &servers_;
     membership &list_;
     list_service &service_;
-    referee &judge_;
-    fleet_figures &figures_;
+    referee &checker_;
+    fleet_figures &metrics_;
     virtual_links &links_;
-    chance chance_;
+    random_generator random_;
     std::vector<std::vector<connection>> idle_; // by server
-    bool ends_ = false;
+    bool stopping_ = false;
     // A central list service: the call that is out, and the revision that is known (0: none).
-    std::uint64_t list_call_ = 0, list_token_ = 0, revision_ = 0;
-    bool list_out_ = false;
-    std::optional<discovery::poll_schedule> calls_; // where one list service serves all
-    std::vector<endpoint_state> listed_;            // by server, as last told; there alone
+    std::uint64_t poll_number_ = 0, poll_token_ = 0, revision_ = 0;
+    bool poll_in_flight_ = false;
+    std::optional<discovery::poll_schedule> poll_schedule_; // where one list service serves all
+    std::vector<endpoint_state> endpoint_states_;           // by server, as last told; there alone
     std::unique_ptr<router> router_;
-    std::uint64_t life_ = 0, serial_ = 0;
-    std::vector<held> held_;
+    std::uint64_t incarnation_ = 0, serial_ = 0;
+    std::vector<active_request> requests_;
     std::vector<index> free_, released_;
     double wake_at_ = 0;
     bool watching_ = false;
     index pauses_ = 0;
-    std::vector<std::function<void()>> late_;
+    std::vector<std::function<void()>> postponed_;
     std::vector<std::string> ids_;
-    std::vector<double> found_; // by server: the trouble that was found last, by its time
-    std::uint64_t plants_ = 0;
+    std::vector<double> found_fault_start_; // by server: the trouble that was found last, by its time
+    std::uint64_t violation_chances_ = 0;
     proxy_counts counts_;
 };
 
--- a/src/testbed/runs/virtual_run.cpp
+++ b/src/testbed/runs/virtual_run.cpp
@@ -18,68 +18,70 @@
 
 } // namespace
 
-run_result run_virtual(const experiment &given, const variant_spec &as, std::uint32_t seed,
+run_result run_virtual(const experiment &settings, const variant_settings &as, std::uint32_t seed,
                        const run_options &how) {
     const double began = wall_now();
     timeline clock(1000); // s; a time of 0 means "long ago" in the list
-    stage all(clock, given, seed, 0.001);
-    all.judge.trace = how.trace;
-    chance seeds(seed + 3);
+    run_environment all(clock, settings, seed, 0.001);
+    all.checker.trace = how.trace;
+    random_generator seeds(seed + 3);
     std::deque<virtual_proxy> proxies;
     virtual_links links(clock, all.links, seed + 4);
-    for (index i = 0; i < given.proxies.count; ++i) {
+    for (index i = 0; i < settings.proxies.count; ++i) {
         proxies.emplace_back(all, links, as, i, seeds.seed());
-        proxies.back().on_answer = [&, i](const asking &of, reply with, double come_back, bool fits) {
-            links.carry({link_kind::client_proxy, 0, i}, direction::back, given.network.one_way, answer_size,
-                        [&all, op = of.op, attempt = of.attempt, with, come_back, fits] {
-                            all.people.answered(op, attempt, with, come_back, fits);
+        proxies.back().on_answer = [&, i](const asking &of, reply with, double retry_after, bool fits) {
+            links.carry({link_kind::client_proxy, 0, i}, direction::back, settings.network.latency,
+                        answer_size, [&all, op = of.op, attempt = of.attempt, with, retry_after, fits] {
+                            all.load_clients.answered(op, attempt, with, retry_after, fits);
                         });
         };
     }
-    all.people.there = [&](index proxy) { return proxies[proxy].takes(); };
-    all.people.send = [&](const asking &query) {
-        links.carry({link_kind::client_proxy, 0, query.proxy}, direction::there, given.network.one_way,
+    all.load_clients.there = [&](index proxy) { return proxies[proxy].accepts(); };
+    all.load_clients.send = [&](const asking &query) {
+        links.carry({link_kind::client_proxy, 0, query.proxy}, direction::there, settings.network.latency,
                     answer_size, [&, query] {
                         auto &to = proxies[query.proxy];
                         if (!to.up()) { // it ended meanwhile: the connection is refused
-                            all.judge.untaken(query.op, query.attempt);
-                            return all.people.answered(query.op, query.attempt, reply::cut, 0, false);
+                            all.checker.request_not_accepted(query.op, query.attempt);
+                            return all.load_clients.answered(query.op, query.attempt, reply::cut, 0, false);
                         }
                         if (query.end > clock.now()) // held longer, its client has gone
-                            to.take(query);
+                            to.receive(query);
                     });
     };
-    all.people.leave = [&](const asking &query) { proxies[query.proxy].leave(query.op, query.attempt); };
+    all.load_clients.leave = [&](const asking &query) {
+        proxies[query.proxy].disconnect(query.op, query.attempt);
+    };
     all.on_link = [&](const link_id &which, const link_now &before, const link_now &now) {
         links.changed(which, before, now);
         if (which.kind == link_kind::proxy_server)
-            proxies[which.near].link_changed(which.far, before, now);
+            proxies[which.near].on_link_changed(which.far, before, now);
     };
     all.list.on_change = [&](const membership::member &what) {
-        if (given.list.form == list_service_kind::central)
+        if (settings.list.form == list_service_kind::central)
             return all.service.changed();
         for (auto &each : proxies)
-            each.changed(what);
+            each.on_list_changed(what);
     };
     all.on_list_stop = [&](bool begins) { all.list.silent(begins); };
     all.on_list_kill = [&](bool begins) {
-        if (given.list.form == list_service_kind::agent)
+        if (settings.list.form == list_service_kind::agent)
             return all.list.silent(begins);
         if (!begins)
             return all.service.rise();
         all.service.die();
         for (auto &each : proxies)
-            each.list_broken();
+            each.on_list_service_died();
     };
     all.on_broken = [&](index server) {
         for (auto &each : proxies)
-            each.broken(server);
+            each.on_server_lost(server);
     };
     for (index i = 0; i < all.servers.size(); ++i)
         all.servers.at(i).on_change = [&, i] { // a cold server that fell over
-            if (!all.servers.at(i).up() && all.list.truth(i).state != endpoint_state::removed)
+            if (!all.servers.at(i).up() && all.list.actual(i).state != endpoint_state::removed)
                 for (auto &each : proxies)
-                    each.broken(i);
+                    each.on_server_lost(i);
         };
     std::vector<index> killed(proxies.size());
     all.on_proxy_kill = [&](index proxy, bool begins) {
@@ -89,7 +91,7 @@
             proxies[proxy].start();
     };
     all.on_proxy_pause = [&](index proxy, bool begins) { proxies[proxy].pause(begins); };
-    all.on_proxy_restart = [&](index proxy, const fault_spec &fault) {
+    all.on_proxy_restart = [&](index proxy, const fault_settings &fault) {
         if (fault.kind == fault_kind::proxy_late)
             return proxies[proxy].start();
         if (killed[proxy] == 0)
@@ -102,29 +104,30 @@
                         });
                 });
     };
-    const std::vector<bool> late = late_proxies(given);
+    const std::vector<bool> late = late_starting_proxies(settings);
     const auto start_proxies = [&] {
         for (index i = 0; i < proxies.size(); ++i)
             if (!late[i])
                 proxies[i].start();
     };
-    if (!given.proxies.together) {
+    if (!settings.proxies.start_with_load) {
         start_proxies();
         clock.advance(clock.now() + start_up, true);
     }
     all.start();
-    if (given.proxies.together)
+    if (settings.proxies.start_with_load)
         start_proxies();
 
     double told = began;
-    const double end = clock.now() + given.length + wind_down;
+    const double end = clock.now() + settings.length + wind_down;
     while (!all.done() && clock.now() < end) {
         clock.advance(clock.now() + 0.25, true);
         if (how.progress != nullptr && wall_now() - told > told_every) {
             told = wall_now();
-            *how.progress << "  " << given.name << " seed " << seed << " " << as.name << ": "
-                          << static_cast<int>(clock.now() - all.people.began()) << " of " << given.length
-                          << " s, " << all.people.operations() << " queries" << std::endl;
+            *how.progress << "  " << settings.name << " seed " << seed << " " << as.name << ": "
+                          << static_cast<int>(clock.now() - all.load_clients.began()) << " of "
+                          << settings.length << " s, " << all.load_clients.operations() << " queries"
+                          << std::endl;
         }
     }
     run_result made = all.result(as, "virtual");
@@ -132,27 +135,28 @@
     for (const auto &each : proxies)
         sum.add(each.counts());
     made.fleet.emplace_back("dials_failed", sum.connect_errors);
-    made.fleet.emplace_back("probes", sum.probes);
-    made.fleet.emplace_back("lists_lost", sum.lists_lost);
-    made.fleet.emplace_back("found_p50_s", sum.found_after.percentile(50));
-    made.fleet.emplace_back("found_p99_s", sum.found_after.percentile(99));
-    made.proxies = {{"sent", sum.sent},
-                    {"completed", sum.completed},
-                    {"rejected", sum.rejected},
-                    {"aborted", sum.aborted},
-                    {"called_off", sum.called_off},
-                    {"false_called_off", sum.false_called_off},
-                    {"false_probes", sum.false_probes},
-                    {"found", sum.found},
-                    {"found_after_p50_us", static_cast<std::uint64_t>(sum.found_after.percentile(50) * 1e6)},
-                    {"found_after_p99_us", static_cast<std::uint64_t>(sum.found_after.percentile(99) * 1e6)},
-                    {"given_up", sum.timed_out},
-                    {"resets", sum.resets},
-                    {"connect_errors", sum.connect_errors},
-                    {"errors", sum.errors},
-                    {"queue_full", sum.full},
-                    {"probes", sum.probes},
-                    {"probes_failed", sum.probes_failed}};
+    made.fleet.emplace_back("probes", sum.health_checks);
+    made.fleet.emplace_back("lists_lost", sum.polls_failed);
+    made.fleet.emplace_back("found_p50_s", sum.detection_time.percentile(50));
+    made.fleet.emplace_back("found_p99_s", sum.detection_time.percentile(99));
+    made.proxies = {
+        {"sent", sum.sent},
+        {"completed", sum.completed},
+        {"rejected", sum.rejected},
+        {"aborted", sum.aborted},
+        {"called_off", sum.canceled},
+        {"false_called_off", sum.false_canceled},
+        {"false_probes", sum.false_health_checks},
+        {"found", sum.faults_found},
+        {"found_after_p50_us", static_cast<std::uint64_t>(sum.detection_time.percentile(50) * 1e6)},
+        {"found_after_p99_us", static_cast<std::uint64_t>(sum.detection_time.percentile(99) * 1e6)},
+        {"given_up", sum.timed_out},
+        {"resets", sum.resets},
+        {"connect_errors", sum.connect_errors},
+        {"errors", sum.errors},
+        {"queue_full", sum.overloaded},
+        {"probes", sum.health_checks},
+        {"probes_failed", sum.health_checks_failed}};
     made.wall = wall_now() - began;
     if (!all.done())
         made.void_because = "queries were still open long after the load";
--- a/src/testbed/runs/virtual_run.hpp
+++ b/src/testbed/runs/virtual_run.hpp
@@ -12,7 +12,7 @@
     std::ostream *progress = nullptr; // a line every few seconds of a long run
 };
 
-run_result run_virtual(const experiment &given, const variant_spec &as, std::uint32_t seed,
+run_result run_virtual(const experiment &settings, const variant_settings &as, std::uint32_t seed,
                        const run_options &how = {});
 
 } // namespace harrierpass::testbed
--- a/src/testbed/soak/soak_plan.cpp
+++ b/src/testbed/soak/soak_plan.cpp
@@ -29,7 +29,7 @@
 // Writes one experiment, table by table.
 class soak_writer {
 public:
-    soak_writer(std::uint32_t seed, double length) : chance_(seed), length_(length) {
+    soak_writer(std::uint32_t seed, double length) : random_(seed), length_(length) {
         text_ << std::fixed << std::setprecision(3);
     }
 
@@ -46,17 +46,17 @@
     }
 
 private:
-    double between(double least, double most) { return least + chance_.part() * (most - least); }
-    int count(int least, int most) { return least + static_cast<int>(chance_.below(most - least + 1)); }
+    double between(double least, double most) { return least + random_.uniform() * (most - least); }
+    int count(int least, int most) { return least + static_cast<int>(random_.below(most - least + 1)); }
 
     // Deadlines of all sizes: most deployments have short ones, where every bound is tight.
     deployment draw_deployment() {
         deployment made{};
-        const double kind = chance_.part();
+        const double kind = random_.uniform();
         made.deadline = kind < 0.5 ? between(0.12, 0.4) : kind < 0.8 ? between(0.4, 1) : between(1, 3);
         made.work = std::min(0.05, made.deadline * 0.08);
         made.rate = 160;
-        const bool crowd = chance_.happens(0.35);
+        const bool crowd = random_.happens(0.35);
         made.sockets = crowd ? 160 : 512;
         made.idle = crowd ? 70 : 0;
         made.drain_grace = between(0.3, 2);
@@ -108,7 +108,7 @@
         std::ostringstream made;
         made << key << " = [";
         const int many = count(least, most);
-        const int first = static_cast<int>(chance_.below(below));
+        const int first = static_cast<int>(random_.below(below));
         for (int i = 0; i < many; ++i)
             made << (i > 0 ? ", " : "") << (first + i) % below;
         made << "]\n";
@@ -119,16 +119,16 @@
     void write_restarts() {
         for (int i = count(2, 4); i > 0; --i) {
             std::ostringstream steps;
-            const bool rolls = chance_.happens(0.5);
+            const bool rolls = random_.happens(0.5);
             if (rolls)
                 steps << "steps = " << count(2, 4) << "\nover = \"" << between(0.5, 2) << "s\"\n";
             write_fault("proxy_restart", between(0.1, 0.8), some("proxies", 4, 9, proxies) + steps.str());
         }
         for (int i = count(0, 2); i > 0; --i)
             write_fault("proxy_signals", 0, some("proxies", 3, proxies, proxies));
-        if (chance_.happens(0.4))
+        if (random_.happens(0.4))
             write_fault("proxy_kill", between(0.3, 1), some("proxies", 1, 4, proxies));
-        if (chance_.happens(0.4))
+        if (random_.happens(0.4))
             write_fault("proxy_pause", between(0.05, 0.15), some("proxies", 2, 6, proxies));
     }
 
@@ -136,7 +136,7 @@
         static constexpr std::array kinds = {"hang",   "vanish",  "slow", "errors",
                                              "spoilt", "one_way", "flap", "crash"};
         for (int i = count(1, 3); i > 0; --i) {
-            const std::string kind = kinds[chance_.below(kinds.size())];
+            const std::string kind = kinds[random_.below(kinds.size())];
             std::ostringstream factor;
             if (kind == "slow")
                 factor << "factor = " << between(2, 8) << "\n";
@@ -144,22 +144,22 @@
                 factor << "factor = " << between(0.1, 0.8) << "\n";
             write_fault(kind, between(0.5, 3), some("servers", 1, 3, servers) + factor.str());
         }
-        if (chance_.happens(0.6))
+        if (random_.happens(0.6))
             write_fault("drain", between(1, 2), some("servers", 1, 3, servers));
-        if (chance_.happens(0.4))
+        if (random_.happens(0.4))
             write_fault("join", 0, "servers = [12, 13]\n");
     }
 
     void write_process_faults() {
-        if (chance_.happens(0.3))
+        if (random_.happens(0.3))
             write_fault("host_kill", between(0.5, 2), some("hosts", 1, 1, hosts));
-        if (chance_.happens(0.3))
+        if (random_.happens(0.3))
             write_fault("host_stop", between(0.3, 1.5), some("hosts", 1, 1, hosts));
-        if (chance_.happens(0.3))
+        if (random_.happens(0.3))
             write_fault("list_stop", between(0.5, 3), "");
-        if (chance_.happens(0.3))
+        if (random_.happens(0.3))
             write_fault("list_kill", between(0.5, 3), "");
-        if (chance_.happens(0.3))
+        if (random_.happens(0.3))
             write_fault("burst", between(0.5, 2), "factor = 2\n");
     }
 
@@ -167,10 +167,10 @@
         static constexpr std::array kinds = {"drop", "reset", "half_open", "slow"};
         static constexpr std::array ends = {"proxy-server", "proxy-list", "client-proxy"};
         for (int i = count(0, 2); i > 0; --i) {
-            const std::string kind = kinds[chance_.below(kinds.size())];
+            const std::string kind = kinds[random_.below(kinds.size())];
             const double lasts = between(0.3, 2);
             text_ << "\n[[link]]\nkind = \"" << kind << "\"\nat = \"" << begin(lasts) << "s\"\nfor = \""
-                  << lasts << "s\"\nbetween = [\"" << ends[chance_.below(ends.size())]
+                  << lasts << "s\"\nbetween = [\"" << ends[random_.below(ends.size())]
                   << "\"]\nshare = " << between(0.1, 0.5) << "\n";
             if (kind == "slow")
                 text_ << "delay = \"" << between(0.005, 0.05) << "s\"\n";
@@ -179,17 +179,17 @@
 
     // In some runs calls of the system fail for a while, or the wall clock steps.
     void write_system_faults() {
-        const bool fails = chance_.happens(0.35), steps = chance_.happens(0.2);
+        const bool fails = random_.happens(0.35), steps = random_.happens(0.2);
         if (!fails && !steps)
             return;
         text_ << "\n[system]\nfrom = \"" << between(0, 3) << "s\"\nfor = \"" << between(0.5, 3)
               << "s\"\nrate = " << (fails ? between(0.005, 0.05) : 0.0) << "\n";
         if (steps)
-            text_ << "clock_step_s = " << (chance_.happens(0.5) ? 1 : -1) * (chance_.happens(0.5) ? 3600 : 5)
+            text_ << "clock_step_s = " << (random_.happens(0.5) ? 1 : -1) * (random_.happens(0.5) ? 3600 : 5)
                   << "\n";
     }
 
-    chance chance_;
+    random_generator random_;
     const double length_;
     std::ostringstream text_;
 };
--- a/src/testbed/verification/merge.cpp
+++ b/src/testbed/verification/merge.cpp
@@ -6,38 +6,38 @@
 
 namespace harrierpass::testbed {
 
-void play(const seen &event, witness &to) {
+void play(const seen &event, observer &to) {
     switch (event.is) {
     case seen::kind::asked:
-        return to.asked(event.op, event.a, event.b, event.c, event.x);
+        return to.request_sent(event.op, event.a, event.b, event.c, event.x);
     case seen::kind::answered:
-        return to.answered(event.op, event.a, static_cast<reply>(event.small), event.flag != 0);
+        return to.response_received(event.op, event.a, static_cast<reply>(event.small), event.flag != 0);
     case seen::kind::unanswered:
-        return to.unanswered(event.op, event.a);
+        return to.response_missing(event.op, event.a);
     case seen::kind::settled:
-        return to.settled(event.op);
+        return to.operation_finished(event.op);
     case seen::kind::untaken:
-        return to.untaken(event.op, event.a);
+        return to.request_not_accepted(event.op, event.a);
     case seen::kind::meet:
-        return to.meet(event.op, event.a, event.b);
+        return to.foreign_request_seen(event.op, event.a, event.b);
     case seen::kind::received:
-        return to.received(event.op, event.a, event.b, event.x);
+        return to.attempt_received(event.op, event.a, event.b, event.x);
     case seen::kind::over:
-        return to.over(event.op, event.a, event.b);
+        return to.attempt_ended(event.op, event.a, event.b);
     case seen::kind::ran:
-        return to.ran(event.op, event.a, event.b);
+        return to.effect_executed(event.op, event.a, event.b);
     case seen::kind::fell:
-        return to.fell(event.a);
+        return to.server_overloaded(event.a);
     case seen::kind::died:
-        return to.died(event.a);
+        return to.server_process_died(event.a);
     case seen::kind::told:
-        return to.told(event.a, event.b, static_cast<endpoint_state>(event.small));
+        return to.endpoint_state_notified(event.a, event.b, static_cast<endpoint_state>(event.small));
     case seen::kind::restarted:
-        return to.restarted(event.a, event.flag != 0);
+        return to.proxy_restarted(event.a, event.flag != 0);
     case seen::kind::paused:
-        return to.paused(event.a, event.flag != 0);
+        return to.proxy_paused(event.a, event.flag != 0);
     case seen::kind::link_trouble:
-        return to.link_trouble(static_cast<link_kind>(event.small), event.a, event.b, event.flag != 0);
+        return to.link_fault_changed(static_cast<link_kind>(event.small), event.a, event.b, event.flag != 0);
     }
 }
 
@@ -46,49 +46,49 @@
     to_(what);
 }
 
-void writer::asked(operation op, index attempt, index proxy, index use_case, double end) {
+void writer::request_sent(operation op, index attempt, index proxy, index use_case, double end) {
     note({seen::kind::asked, 0, 0, attempt, proxy, use_case, op, end});
 }
-void writer::answered(operation op, index attempt, reply how, bool body_fits) {
+void writer::response_received(operation op, index attempt, reply how, bool body_fits) {
     note({seen::kind::answered, static_cast<std::uint8_t>(how), body_fits, attempt, 0, 0, op});
 }
-void writer::unanswered(operation op, index attempt) {
+void writer::response_missing(operation op, index attempt) {
     note({seen::kind::unanswered, 0, 0, attempt, 0, 0, op});
 }
-void writer::settled(operation op) {
+void writer::operation_finished(operation op) {
     note({seen::kind::settled, 0, 0, 0, 0, 0, op});
 }
-void writer::untaken(operation op, index attempt) {
+void writer::request_not_accepted(operation op, index attempt) {
     note({seen::kind::untaken, 0, 0, attempt, 0, 0, op});
 }
-void writer::meet(operation op, index attempt, index use_case) {
+void writer::foreign_request_seen(operation op, index attempt, index use_case) {
     note({seen::kind::meet, 0, 0, attempt, use_case, 0, op});
 }
-void writer::received(operation op, index attempt, index server, double sent) {
+void writer::attempt_received(operation op, index attempt, index server, double sent) {
     note({seen::kind::received, 0, 0, attempt, server, 0, op, sent});
 }
-void writer::over(operation op, index attempt, index server) {
+void writer::attempt_ended(operation op, index attempt, index server) {
     note({seen::kind::over, 0, 0, attempt, server, 0, op});
 }
-void writer::ran(operation op, index attempt, index server) {
+void writer::effect_executed(operation op, index attempt, index server) {
     note({seen::kind::ran, 0, 0, attempt, server, 0, op});
 }
-void writer::fell(index server) {
+void writer::server_overloaded(index server) {
     note({seen::kind::fell, 0, 0, server});
 }
-void writer::died(index server) {
+void writer::server_process_died(index server) {
     note({seen::kind::died, 0, 0, server});
 }
-void writer::told(index proxy, index server, endpoint_state as) {
+void writer::endpoint_state_notified(index proxy, index server, endpoint_state as) {
     note({seen::kind::told, static_cast<std::uint8_t>(as), 0, proxy, server});
 }
-void writer::restarted(index proxy, bool killed) {
+void writer::proxy_restarted(index proxy, bool killed) {
     note({seen::kind::restarted, 0, killed, proxy});
 }
-void writer::paused(index proxy, bool begins) {
+void writer::proxy_paused(index proxy, bool begins) {
     note({seen::kind::paused, 0, begins, proxy});
 }
-void writer::link_trouble(link_kind kind, index near, index far, bool begins) {
+void writer::link_fault_changed(link_kind kind, index near, index far, bool begins) {
     note({seen::kind::link_trouble, static_cast<std::uint8_t>(kind), begins, near, far});
 }
 
--- a/src/testbed/verification/merge.hpp
+++ b/src/testbed/verification/merge.hpp
@@ -15,7 +15,7 @@
 namespace harrierpass::testbed {
 
 // One event as it is written down and sent: of a fixed size, so that what a killed process had written is
-// whole or is not there. Each kind uses the fields as witness has them.
+// whole or is not there. Each kind uses the fields as observer has them.
 struct seen {
     enum class kind : std::uint8_t {
         asked,
@@ -42,30 +42,30 @@
     double when = 0; // s
 };
 
-void play(const seen &event, witness &to);
+void play(const seen &event, observer &to);
 
 // Takes down what a process sees, and hands each event on at once.
-class writer : public witness {
+class writer : public observer {
 public:
     // `now`: the machine's time at this very moment. A loop's own, which stands while it works through what
     // has come, would put an answer to another process's message before that message.
     writer(std::function<double()> now, std::function<void(const seen &)> to)
         : now_(std::move(now)), to_(std::move(to)) {}
-    void asked(operation op, index attempt, index proxy, index use_case, double end) override;
-    void answered(operation op, index attempt, reply how, bool body_fits) override;
-    void unanswered(operation op, index attempt) override;
-    void settled(operation op) override;
-    void untaken(operation op, index attempt) override;
-    void meet(operation op, index attempt, index use_case) override;
-    void received(operation op, index attempt, index server, double sent) override;
-    void over(operation op, index attempt, index server) override;
-    void ran(operation op, index attempt, index server) override;
-    void fell(index server) override;
-    void died(index server) override;
-    void told(index proxy, index server, endpoint_state as) override;
-    void restarted(index proxy, bool killed) override;
-    void paused(index proxy, bool begins) override;
-    void link_trouble(link_kind kind, index near, index far, bool begins) override;
+    void request_sent(operation op, index attempt, index proxy, index use_case, double end) override;
+    void response_received(operation op, index attempt, reply how, bool body_fits) override;
+    void response_missing(operation op, index attempt) override;
+    void operation_finished(operation op) override;
+    void request_not_accepted(operation op, index attempt) override;
+    void foreign_request_seen(operation op, index attempt, index use_case) override;
+    void attempt_received(operation op, index attempt, index server, double sent) override;
+    void attempt_ended(operation op, index attempt, index server) override;
+    void effect_executed(operation op, index attempt, index server) override;
+    void server_overloaded(index server) override;
+    void server_process_died(index server) override;
+    void endpoint_state_notified(index proxy, index server, endpoint_state as) override;
+    void proxy_restarted(index proxy, bool killed) override;
+    void proxy_paused(index proxy, bool begins) override;
+    void link_fault_changed(link_kind kind, index near, index far, bool begins) override;
 
 private:
     void note(seen what);
@@ -76,7 +76,7 @@
 class event_merge {
 public:
     // `clock` is the judge's own, and is moved to each event's time.
-    event_merge(timeline &clock, witness &judge) : clock_(clock), judge_(judge) {}
+    event_merge(timeline &clock, observer &judge) : clock_(clock), judge_(judge) {}
 
     std::size_t add_source();
     void put(std::size_t source, const seen &event); // its time is news of the source, too
@@ -88,7 +88,7 @@
 
 private:
     timeline &clock_;
-    witness &judge_;
+    observer &judge_;
     std::vector<double> heard_; // by source
     // By time, then source, then the order in which a source told it: equal times do not hang on the way
     // here.
--- a/src/testbed/verification/report.cpp
+++ b/src/testbed/verification/report.cpp
@@ -110,7 +110,7 @@
 std::vector<stored_result> read_results(const std::string &path) {
     std::ifstream in(path);
     if (!in)
-        throw bad_experiment(path + ": cannot be read");
+        throw experiment_error(path + ": cannot be read");
     std::vector<stored_result> all;
     const auto numbers = [](const json &of) {
         std::vector<double> values;
@@ -159,7 +159,7 @@
             run.in_hand = from.at("slots").at("in_hand").get<std::vector<std::vector<double>>>();
             all.push_back(std::move(made));
         } catch (const json::exception &bad) {
-            throw bad_experiment(path + ":" + std::to_string(number) + ": no result: " + bad.what());
+            throw experiment_error(path + ":" + std::to_string(number) + ": no result: " + bad.what());
         }
     }
     return all;
--- a/src/testbed/verification/result.hpp
+++ b/src/testbed/verification/result.hpp
@@ -18,7 +18,7 @@
     std::vector<shade> made;
     for (const auto &each : of.faults)
         made.push_back({name_of(each.kind), each.at, each.lasts});
-    for (const auto &each : of.links)
+    for (const auto &each : of.link_faults)
         made.push_back({name_of(each.kind), each.at, each.lasts});
     return made;
 }
