--- a/src/testbed/verification/rule_checker.cpp
+++ b/src/testbed/verification/rule_checker.cpp
@@ -73,7 +73,7 @@
                << words[static_cast<std::size_t>(is)] << ' ' << who << '\n';
 }
 
-void referee::asked(operation op, index attempt, index proxy, index use_case, double end) {
+void referee::request_sent(operation op, index attempt, index proxy, index use_case, double end) {
     forget();
     auto &of = records_[op];
     of.use_case = use_case;
@@ -81,7 +81,7 @@
     note(of, op, what::asked, attempt, proxy);
 }
 
-void referee::answered(operation op, index attempt, reply how, bool body_fits) {
+void referee::response_received(operation op, index attempt, reply how, bool body_fits) {
     record *const of = find(op);
     open_try *const one = of != nullptr ? find(*of, attempt) : nullptr;
     if (one == nullptr)
@@ -100,11 +100,11 @@
     if (how == reply::completed && !body_fits)
         blame(rule::wrong_body, op, "the answer was made for another query");
     if (how == reply::rejected && of->effects > 0 &&
-        given_.use_cases[of->use_case].decides.effect == effect_kind::non_idempotent)
+        given_.use_cases[of->use_case].routing.effect == effect_kind::non_idempotent)
         blame(rule::ran_twice, op, "rejected, so that its client may ask again, after it ran");
 }
 
-void referee::unanswered(operation op, index attempt) {
+void referee::response_missing(operation op, index attempt) {
     record *const of = find(op);
     open_try *const one = of != nullptr ? find(*of, attempt) : nullptr;
     if (one == nullptr || one->answered)
@@ -124,20 +124,20 @@
         blame(rule::lost, op, "no answer before the client's end");
 }
 
-void referee::settled(operation op) {
+void referee::operation_finished(operation op) {
     if (record *const of = find(op)) {
         of->settled = true;
         settled_.emplace_back(clock_.now(), op);
     }
 }
 
-void referee::untaken(operation op, index attempt) {
+void referee::request_not_accepted(operation op, index attempt) {
     if (record *const of = find(op))
         if (open_try *const one = find(*of, attempt))
             one->untaken = true;
 }
 
-void referee::meet(operation op, index attempt, index use_case) {
+void referee::foreign_request_seen(operation op, index attempt, index use_case) {
     record *const known = find(op);
     if (!strangers || (known != nullptr && find(*known, attempt) != nullptr))
         return;
@@ -149,7 +149,7 @@
         settled_.emplace_back(clock_.now(), op);
 }
 
-void referee::received(operation op, index attempt, index server, double sent) {
+void referee::attempt_received(operation op, index attempt, index server, double sent) {
     ++executions_;
     if (on_received)
         on_received(server);
@@ -199,7 +199,7 @@
     judge_overlaps(std::numeric_limits<double>::infinity());
 }
 
-void referee::over(operation op, index attempt, index server) {
+void referee::attempt_ended(operation op, index attempt, index server) {
     record *const of = find(op);
     if (of == nullptr)
         return;
@@ -212,14 +212,14 @@
     note(*of, op, what::over, attempt, server);
 }
 
-void referee::ran(operation op, index attempt, index server) {
+void referee::effect_executed(operation op, index attempt, index server) {
     ++effects_;
     record *const of = find(op);
     if (of == nullptr)
         return;
     note(*of, op, what::ran, attempt, server);
     ++of->effects;
-    const auto &use = given_.use_cases[of->use_case].decides;
+    const auto &use = given_.use_cases[of->use_case].routing;
     const auto now = std::find_if(of->runs.begin(), of->runs.end(), [&](const run_of &each) {
         return each.attempt == attempt && each.server == server && !each.ran;
     });
@@ -232,14 +232,15 @@
         return blame(rule::ran_twice, op, "a non-idempotent operation ran again");
     for (const auto &each : of->runs)
         if (each.ran && &each != &*now && !each.held && !now->held &&
-            (group_of(given_, of->use_case, each.server) != group_of(given_, of->use_case, server) ||
+            (deduplication_group_of(given_, of->use_case, each.server) !=
+                 deduplication_group_of(given_, of->use_case, server) ||
              std::abs(each.received - now->received) >= use.deduplication_window))
             return blame(rule::ran_twice, op,
                          "a deduplicated operation was sent where, or when, no server knew of it");
     ++late_effects_;
 }
 
-void referee::fell(index server) {
+void referee::server_overloaded(index server) {
     ++broken_[static_cast<std::size_t>(rule::cold)];
     std::ostringstream text;
     text << std::fixed << std::setprecision(3) << clock_.now() << " s: rule cold: server " << server
@@ -248,21 +249,21 @@
         stories_.push_back(text.str());
 }
 
-void referee::died(index server) {
+void referee::server_process_died(index server) {
     for (auto &[op, of] : records_)
         for (auto &one : of.tries)
             if (one.out > 0 && one.out_at == server)
                 one.out = 0;
 }
 
-void referee::told(index proxy, index server, endpoint_state as) {
+void referee::endpoint_state_notified(index proxy, index server, endpoint_state as) {
     auto &known = place(place(told_, proxy), server);
     if (known.as == endpoint_state::ready || as == endpoint_state::ready) // the first word of an end counts
         known = {as, clock_.now()};
     known.as = as;
 }
 
-void referee::restarted(index proxy, bool killed) {
+void referee::proxy_restarted(index proxy, bool killed) {
     for (auto &each : place(told_, proxy)) // the next process has heard of nothing
         each = {};
     for (auto &[op, of] : records_)
@@ -270,7 +271,7 @@
             one.excused = one.excused || (killed && one.proxy == proxy);
 }
 
-void referee::paused(index proxy, bool begins) {
+void referee::proxy_paused(index proxy, bool begins) {
     auto &held = place(paused_, proxy);
     if (begins && held == 0)
         place(paused_since_, proxy) = clock_.now();
@@ -278,7 +279,7 @@
     place(paused_until_, proxy) = clock_.now();
 }
 
-void referee::link_trouble(link_kind kind, index near, index far, bool begins) {
+void referee::link_fault_changed(link_kind kind, index near, index far, bool begins) {
     auto &of = links_[{kind, near, far}];
     if (begins && !of.now)
         of.since = clock_.now();
--- a/src/testbed/verification/rule_checker.hpp
+++ b/src/testbed/verification/rule_checker.hpp
@@ -44,27 +44,27 @@
 };
 const char *name_of(rule which);
 
-class referee : public witness {
+class referee : public observer {
 public:
     // `slack`: s by which the clocks of threads and sockets may differ.
     referee(const timeline &clock, const experiment &given, double slack)
         : clock_(clock), given_(given), slack_(slack) {}
 
-    void asked(operation op, index attempt, index proxy, index use_case, double end) override;
-    void answered(operation op, index attempt, reply how, bool body_fits) override;
-    void unanswered(operation op, index attempt) override;
-    void settled(operation op) override;
-    void untaken(operation op, index attempt) override;
-    void meet(operation op, index attempt, index use_case) override;
-    void received(operation op, index attempt, index server, double sent) override;
-    void over(operation op, index attempt, index server) override;
-    void ran(operation op, index attempt, index server) override;
-    void fell(index server) override;
-    void died(index server) override;
-    void told(index proxy, index server, endpoint_state as) override;
-    void restarted(index proxy, bool killed) override;
-    void paused(index proxy, bool begins) override;
-    void link_trouble(link_kind kind, index near, index far, bool begins) override;
+    void request_sent(operation op, index attempt, index proxy, index use_case, double end) override;
+    void response_received(operation op, index attempt, reply how, bool body_fits) override;
+    void response_missing(operation op, index attempt) override;
+    void operation_finished(operation op) override;
+    void request_not_accepted(operation op, index attempt) override;
+    void foreign_request_seen(operation op, index attempt, index use_case) override;
+    void attempt_received(operation op, index attempt, index server, double sent) override;
+    void attempt_ended(operation op, index attempt, index server) override;
+    void effect_executed(operation op, index attempt, index server) override;
+    void server_overloaded(index server) override;
+    void server_process_died(index server) override;
+    void endpoint_state_notified(index proxy, index server, endpoint_state as) override;
+    void proxy_restarted(index proxy, bool killed) override;
+    void proxy_paused(index proxy, bool begins) override;
+    void link_fault_changed(link_kind kind, index near, index far, bool begins) override;
     void finish(); // nothing more comes: what was waited for is judged
 
     std::function<void(index server)> on_received; // an execution came to it
--- a/src/testbed/verification/run_metrics.cpp
+++ b/src/testbed/verification/run_metrics.cpp
@@ -31,7 +31,7 @@
     };
     for (const auto &each : given.faults)
         name(each.proxies);
-    for (const auto &each : given.links)
+    for (const auto &each : given.link_faults)
         if (each.kind == link_fault_kind::partition)
             name(each.proxies);
     const auto count = std::count(struck.begin(), struck.end(), true);
--- a/tests/support/process_helpers.hpp
+++ b/tests/support/process_helpers.hpp
@@ -20,16 +20,16 @@
 }
 
 inline run_result on_sockets(const experiment &given, const std::string &logs = "",
-                             plant breaks = plant::nothing, decider by = decider::module,
-                             bool embeds = false) {
+                             injected_violation breaks = injected_violation::nothing,
+                             policy_kind by = policy_kind::module, bool embeds = false) {
     socket_options how;
     how.program = HARRIERPASS_PROGRAM;
     how.self = HARRIERPASS_TESTBED_PROGRAM;
     how.logs = logs;
     how.embeds = embeds;
-    variant_spec as;
-    as.breaks = breaks;
-    as.by = by;
+    variant_settings as;
+    as.violation = breaks;
+    as.policy = by;
     return run_on_sockets(given, as, 3, how);
 }
 
--- a/tests/support/stand.hpp
+++ b/tests/support/stand.hpp
@@ -91,17 +91,17 @@
         const std::size_t at = next++;
         return at < replies.size() ? replies[at] : ok("value");
     }
-    std::string list(const std::string &first_phase, bool whole_list) {
+    std::string list(const std::string &first_phase, bool full_list) {
         const auto entry = [](const char *id, const std::string &at, const std::string &phase,
                               const char *kind = "m") {
             return std::string(R"({"id":")") + id + R"(","host_port":")" + at +
                    R"(","locality":"a","flavor":")" + kind + R"(","cell":0,"phase":")" + phase +
                    R"(","size":1.0,"up_since_ms":0})";
         };
-        return std::string(R"({"revision":)") + (whole_list ? "41" : "42") + R"(,"complete":)" +
-               (whole_list ? "true" : "false") + R"(,"members":[)" +
+        return std::string(R"({"revision":)") + (full_list ? "41" : "42") + R"(,"complete":)" +
+               (full_list ? "true" : "false") + R"(,"members":[)" +
                entry("s0", servers[0].at(), first_phase) +
-               (whole_list ? "," + entry("s1", servers[1].at(), "active", "o") : "") + "]}";
+               (full_list ? "," + entry("s1", servers[1].at(), "active", "o") : "") + "]}";
     }
     std::size_t executions() { return servers[0].count() + servers[1].count(); }
     void wait_for_execution() {
--- a/tests/testbed/many_test.cpp
+++ b/tests/testbed/many_test.cpp
@@ -371,7 +371,7 @@
     const auto said = [](const std::string &rest) {
         try {
             made("[fleet]\nservers = 2\nhosts = 2\n[proxies]\ncount = 2\n" + rest);
-        } catch (const bad_experiment &bad) {
+        } catch (const experiment_error &bad) {
             return std::string(bad.what());
         }
         return std::string("taken");
@@ -456,7 +456,7 @@
         service.call(std::nullopt, 0, done);
     REQUIRE(came.size() == 2); // one is served, three wait
     CHECK(came[0].second.refused);
-    CHECK(came[0].second.come_back == 5);
+    CHECK(came[0].second.retry_after == 5);
     clock.advance(1.21, true);
     REQUIRE(came.size() == 6);
     CHECK(came[2].first == doctest::Approx(1.05));
@@ -485,8 +485,8 @@
         made("[fleet]\nservers = 4\nhosts = 2\nwarm = false\n[list]\nown_process = true\n"
              "notice = \"100ms\"\nlag = \"1ms\"\n");
     loop in;
-    stage all(in.clock, given, 1, 0.05, [&in] { return in.exact(); });
-    all.judge.strangers = true;
+    run_environment all(in.clock, given, 1, 0.05, [&in] { return in.exact(); });
+    all.checker.strangers = true;
     const std::string folder = folder_of("many-parts-");
     {
         fleet_ports ports(in, all, {}, {HARRIERPASS_TESTBED_PROGRAM, folder});
@@ -500,7 +500,7 @@
         CHECK(zero.said == "200 hit");
         CHECK(all.servers.source().fetches() == 2); // the origin is here
 
-        fault_spec stops;
+        fault_settings stops;
         stops.kind = fault_kind::host_stop;
         stops.hosts = {0};
         stops.servers = {0, 2};
@@ -512,7 +512,7 @@
         all.apply(stops, false);
         until(in, [&] { return zero.count == 3; });
 
-        fault_spec kills = stops;
+        fault_settings kills = stops;
         kills.kind = fault_kind::host_kill;
         all.apply(kills, true);
         until(in, [&] { return zero.ended; });
@@ -532,7 +532,7 @@
         list.on->send(whole);
         until(in, [&] { return list.count == 1; });
         CHECK(list.said == "200 ");
-        fault_spec service;
+        fault_settings service;
         service.kind = fault_kind::list_stop;
         all.apply(service, true);
         list.on->send(whole);
@@ -557,9 +557,9 @@
         CHECK(ports.deaths() == 0);
         all.events.gone(all.own_events);
         all.events.judge();
-        CHECK(all.judge.executions() == 7); // nothing that was seen is lost with a process
-        CHECK(all.judge.effects() == 7);
-        CHECK(all.judge.broken() == 0);
+        CHECK(all.checker.executions() == 7); // nothing that was seen is lost with a process
+        CHECK(all.checker.effects() == 7);
+        CHECK(all.checker.broken() == 0);
     }
     std::filesystem::remove_all(folder);
 }
@@ -686,14 +686,18 @@
 at = "1s"
 servers = [2]
 )";
-    const std::vector<std::pair<plant, rule>> all = {
-        {plant::lose, rule::lost},           {plant::answer_twice, rule::answered_twice},
-        {plant::run_twice, rule::ran_twice}, {plant::two_out, rule::two_out},
-        {plant::ignore_drain, rule::drain},  {plant::push_cold, rule::cold},
-        {plant::late, rule::late},           {plant::wrong_body, rule::wrong_body}};
+    const std::vector<std::pair<injected_violation, rule>> all = {
+        {injected_violation::lose_response, rule::lost},
+        {injected_violation::answer_twice, rule::answered_twice},
+        {injected_violation::execute_twice, rule::ran_twice},
+        {injected_violation::concurrent_attempts, rule::two_out},
+        {injected_violation::ignore_drain, rule::drain},
+        {injected_violation::overload_cold, rule::cold},
+        {injected_violation::late_attempt, rule::late},
+        {injected_violation::wrong_body, rule::wrong_body}};
     const experiment given = made(day);
     for (const auto &each : all) {
-        const plant breaks = each.first;
+        const injected_violation breaks = each.first;
         const rule which = each.second;
         CAPTURE(std::string(name_of(which)));
         const auto run = on_sockets(given, "", breaks);
@@ -792,7 +796,8 @@
 for = "100ms"
 proxies = [12, 13]
 )");
-    const auto with = on_sockets(given), without = on_sockets(given, "", plant::nothing, decider::whole_list);
+    const auto with = on_sockets(given),
+               without = on_sockets(given, "", injected_violation::nothing, policy_kind::full_list);
     for (const auto &each : with.stories)
         MESSAGE(each);
     CHECK(with.broken() == 0);
--- a/tests/testbed/testbed_test.cpp
+++ b/tests/testbed/testbed_test.cpp
@@ -70,7 +70,7 @@
 }
 
 TEST_CASE("the histogram keeps percentiles within its stated error") {
-    chance from(3);
+    random_generator from(3);
     histogram of;
     std::vector<double> all;
     for (int i = 0; i < 20000; ++i) {
@@ -90,7 +90,7 @@
     const auto said = [](const std::string &text) {
         try {
             parse_experiment(text, "day.toml");
-        } catch (const bad_experiment &bad) {
+        } catch (const experiment_error &bad) {
             return std::string(bad.what());
         }
         return std::string("taken");
@@ -138,10 +138,10 @@
     void send(double at, index server, const job &what) {
         clock.at(at, [this, server, what] {
             judge.strangers = true;
-            judge.meet(what.op, what.attempt, what.use_case);
-            judge.received(what.op, what.attempt, server, clock.now());
+            judge.foreign_request_seen(what.op, what.attempt, what.use_case);
+            judge.attempt_received(what.op, what.attempt, server, clock.now());
             servers.at(server).receive(what, [this, what, server](const result &with) {
-                judge.over(what.op, what.attempt, server);
+                judge.attempt_ended(what.op, what.attempt, server);
                 came.push_back({clock.now(), what.op, with});
             });
         });
@@ -211,7 +211,7 @@
     CHECK_FALSE(server.up()); // one of two crashes is over
     server.crash(false);
     CHECK(server.up());
-    CHECK(server.warmth() < 0.25);
+    CHECK(server.warm_up_progress() < 0.25);
     CHECK(server.kept() == 0);
     server.slow(4, false);
     CHECK(server.answers_probes());
@@ -222,17 +222,21 @@
 TEST_CASE("the referee sees what is planted, and nothing else") {
     const std::string day = fault("crash", "1s", "for = \"300ms\"\nservers = [1]") +
                             fault("drain", "2s", "servers = [2]") + "[list]\ndrain_grace = \"200ms\"\n";
-    const std::vector<std::pair<plant, rule>> all = {
-        {plant::lose, rule::lost},           {plant::answer_twice, rule::answered_twice},
-        {plant::run_twice, rule::ran_twice}, {plant::two_out, rule::two_out},
-        {plant::ignore_drain, rule::drain},  {plant::push_cold, rule::cold},
-        {plant::late, rule::late},           {plant::wrong_body, rule::wrong_body}};
+    const std::vector<std::pair<injected_violation, rule>> all = {
+        {injected_violation::lose_response, rule::lost},
+        {injected_violation::answer_twice, rule::answered_twice},
+        {injected_violation::execute_twice, rule::ran_twice},
+        {injected_violation::concurrent_attempts, rule::two_out},
+        {injected_violation::ignore_drain, rule::drain},
+        {injected_violation::overload_cold, rule::cold},
+        {injected_violation::late_attempt, rule::late},
+        {injected_violation::wrong_body, rule::wrong_body}};
     const experiment given = made(day);
     for (const auto &each : all) {
-        const plant breaks = each.first;
+        const injected_violation breaks = each.first;
         const rule which = each.second;
-        variant_spec as;
-        as.breaks = breaks;
+        variant_settings as;
+        as.violation = breaks;
         const auto run = run_virtual(given, as, 1);
         CAPTURE(std::string(name_of(which)));
         CHECK(run.rules[static_cast<std::size_t>(which)].first == name_of(which));
@@ -261,23 +265,23 @@
 TEST_CASE("a deduplicated operation may run again only where nobody was at fault") {
     const auto broken = [](const std::string &group, double second_at, bool held) {
         experiment given = made("");
-        given.use_cases[1].decides.scope =
+        given.use_cases[1].routing.scope =
             group == "all" ? deduplication_scope::all : deduplication_scope::cell;
-        given.use_cases[1].decides.deduplication_window = 2;
+        given.use_cases[1].routing.deduplication_window = 2;
         timeline clock;
         referee judge(clock, given, 0);
-        judge.asked(7, 0, 0, 1, 100);
-        judge.received(7, 0, 0, 0);
+        judge.request_sent(7, 0, 0, 1, 100);
+        judge.attempt_received(7, 0, 0, 0);
         if (!held)
-            judge.ran(7, 0, 0);
-        judge.over(7, 0, 0);
+            judge.effect_executed(7, 0, 0);
+        judge.attempt_ended(7, 0, 0);
         clock.advance(second_at, true);
-        judge.received(7, 0, 1, second_at);
-        judge.ran(7, 0, 1);
-        judge.over(7, 0, 1);
+        judge.attempt_received(7, 0, 1, second_at);
+        judge.effect_executed(7, 0, 1);
+        judge.attempt_ended(7, 0, 1);
         clock.advance(50, true);
         if (held)
-            judge.ran(7, 0, 0);
+            judge.effect_executed(7, 0, 0);
         return std::pair(judge.broken(rule::ran_twice), judge.late_effects());
     };
     CHECK(broken("all", 1, false) == std::pair<std::uint64_t, std::uint64_t>(0, 1));
@@ -344,7 +348,7 @@
     std::string said;
     try {
         read_results(path);
-    } catch (const bad_experiment &bad) {
+    } catch (const experiment_error &bad) {
         said = bad.what();
     }
     CHECK(said.starts_with(path + ":3: no result"));
@@ -358,10 +362,10 @@
 
 TEST_CASE("servers on sockets: hits, repeats that are seen, deaths and silences") {
     experiment given = made("[network]\ndial_limit = \"200ms\"\n");
-    given.fleet.warm = false;
+    given.fleet.starts_warm = false;
     loop in;
-    stage all(in.clock, given, 1, 0.05);
-    all.judge.strangers = true;
+    run_environment all(in.clock, given, 1, 0.05);
+    all.checker.strangers = true;
     const fleet_ports ports(in, all);
     caller one(in, ports.server_at(0)), two(in, ports.server_at(1));
     one.get("a1", "/lookup/7");
@@ -376,14 +380,14 @@
     one.get("a3", "/nothing/7");
     until(in, [&] { return one.count == 4; });
     CHECK(one.said == "400 ");
-    CHECK(all.judge.broken() == 0);
+    CHECK(all.checker.broken() == 0);
 
     // The same query at two servers at once.
     all.servers.at(0).hang(true);
     all.servers.at(1).hang(true);
     one.get("b1", "/lookup/8");
     two.get("b1", "/lookup/8");
-    until(in, [&] { return all.judge.broken(rule::two_out) == 1; });
+    until(in, [&] { return all.checker.broken(rule::two_out) == 1; });
     all.servers.at(0).crash(true);
     until(in, [&] { return one.ended; });
     CHECK(one.why == channel::ending::reset);
@@ -404,7 +408,7 @@
     CHECK_FALSE(back.ended);
     CHECK(back.count == 1);
     // A caller that gives up meanwhile is seen to, and what it sent is never run.
-    const auto executions = all.judge.executions();
+    const auto executions = all.checker.executions();
     two.on->end(false);
     all.servers.at(1).hang(false);
     caller tired(in, ports.server_at(1));
@@ -420,12 +424,12 @@
     all.servers.at(0).vanish(false);
     until(in, [&] { return back.count == 2; });
     CHECK(back.said == "200 hit");
-    CHECK(all.judge.executions() == executions + 3); // d1, d2 once, c2
-    CHECK(all.judge.broken() == 1);                  // the two at once, from before
+    CHECK(all.checker.executions() == executions + 3); // d1, d2 once, c2
+    CHECK(all.checker.broken() == 1);                  // the two at once, from before
 }
 
-run_result on_sockets(const std::string &rest, bool embeds, decider by = decider::module) {
-    auto run = on_sockets(made(rest), "", plant::nothing, by, embeds);
+run_result on_sockets(const std::string &rest, bool embeds, policy_kind by = policy_kind::module) {
+    auto run = on_sockets(made(rest), "", injected_violation::nothing, by, embeds);
     CAPTURE(run.stories);
     std::string stories;
     for (const auto &each : run.stories)
@@ -465,7 +469,7 @@
 TEST_CASE("the proxy on sockets, embedded, and a baseline as a process") {
     const std::string spoilt = fault("spoilt", "500ms", "for = \"3s\"\nservers = [0]\nfactor = 0.3");
     const auto embedded = on_sockets(spoilt, true);
-    const auto baseline = on_sockets(spoilt, false, decider::least_of_two);
+    const auto baseline = on_sockets(spoilt, false, policy_kind::less_loaded_of_two);
     CHECK(embedded.completed > baseline.completed); // spoilt reads are tried again
     CHECK(baseline.aborted > 0);
 }
