--- /dev/null
+++ b/src/testbed/model/experiment_layers.cpp
@@ -0,0 +1,72 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "testbed/model/experiment_layers.hpp"
+
+#include "testbed/model/experiment.hpp"
+
+#include <fstream>
+#include <sstream>
+#include <utility>
+
+namespace harrierpass::testbed {
+namespace {
+
+[[noreturn]] void refuse(const std::string &name, const toml::node &node, const std::string &reason) {
+    throw experiment_error(name + ":" + std::to_string(node.source().begin.line) + ": " + reason);
+}
+
+void merge_into(toml::table &target, const toml::table &layer) {
+    for (const auto &[key, node] : layer)
+        if (auto *const both = target.get_as<toml::table>(key); both != nullptr && node.is_table())
+            merge_into(*both, *node.as_table());
+        else
+            target.insert_or_assign(key, node);
+}
+
+std::string path_beside(const std::string &name, const std::string &file) {
+    const auto slash = name.rfind('/');
+    return (slash == std::string::npos ? "" : name.substr(0, slash + 1)) + file;
+}
+
+// A base has no base of its own.
+toml::table parse_base(const std::string &name, const toml::node &base) {
+    const auto file = base.value_exact<std::string>();
+    if (!file)
+        refuse(name, base, "base is no text");
+    const std::string path = path_beside(name, *file);
+    std::ifstream in(path);
+    std::ostringstream text;
+    text << in.rdbuf();
+    if (!in)
+        refuse(name, base, "base " + path + " cannot be read");
+    toml::table parsed = toml::parse(text.str(), path);
+    if (const toml::node *nested = parsed.get("base"))
+        refuse(path, *nested, nested->is_string() ? "base of a base" : "base is no text");
+    return parsed;
+}
+
+} // namespace
+
+toml::table merge_experiment_layers(const std::string &text, const std::string &name, bool large) {
+    toml::table merged = toml::parse(text, name);
+    if (const toml::node *base = merged.get("base")) {
+        toml::table lower = parse_base(name, *base);
+        merged.erase("base");
+        merge_into(lower, merged);
+        merged = std::move(lower);
+    }
+    const toml::node *part = merged.get("large");
+    if (part == nullptr) {
+        if (large)
+            throw experiment_error(name + ":1: has no [large] part");
+        return merged;
+    }
+    if (!part->is_table())
+        refuse(name, *part, "large is written [large]");
+    const toml::table layer = *part->as_table();
+    merged.erase("large");
+    if (large)
+        merge_into(merged, layer);
+    return merged;
+}
+
+} // namespace harrierpass::testbed
--- a/src/testbed/processes/worker_process.cpp
+++ b/src/testbed/processes/worker_process.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "testbed/processes/worker_process.hpp"
 
+#include "testbed/model/experiment_reader.hpp"
 #include "testbed/processes/list_port.hpp"
 #include "testbed/processes/server_port.hpp"
 
--- a/tests/testbed/cold_start_test.cpp
+++ b/tests/testbed/cold_start_test.cpp
@@ -9,6 +9,7 @@
 #include "proxy/discovery/discovery_client.hpp"
 #include "proxy/discovery/snapshot_file.hpp"
 #include "proxy/operations/startup_preview.hpp"
+#include "testbed/model/experiment_reader.hpp"
 #include "testbed/runs/socket_run.hpp"
 #include "testbed/verification/report.hpp"
 
--- a/tests/testbed/testbed_test.cpp
+++ b/tests/testbed/testbed_test.cpp
@@ -7,6 +7,7 @@
 #include "support/testbed_helpers.hpp"
 
 #include "testbed/load/client_port.hpp"
+#include "testbed/model/experiment_reader.hpp"
 #include "testbed/processes/fleet_ports.hpp"
 #include "testbed/runs/socket_run.hpp"
 #include "testbed/runs/virtual_run.hpp"
