--- a/src/hosted/admin_session.cpp
+++ b/src/hosted/admin_session.cpp
@@ -126,18 +126,18 @@
 
 const char *admin_session::receive(http_reader::state &state) {
     const auto space = reader_->free_space();
-    const long received = connection_.read(space.data(), space.size());
-    if (received == read_would_block) {
+    const io_result received = connection_.read(space.data(), space.size());
+    if (received.status == io_status::would_block) {
         connection_.wait(std::min(deadline_ - steady_now(), stop_check_interval));
         return nullptr;
     }
-    if (received == 0)
+    if (received.status == io_status::closed)
         return has_received_ ? "caller_cut" : "caller_closed";
-    if (received < 0)
+    if (received.status == io_status::failed)
         return "caller_reset";
     if (!std::exchange(has_received_, true))
         deadline_ = steady_now() + context_.limits.request;
-    state = reader_->received(static_cast<std::size_t>(received));
+    state = reader_->received(received.size);
     return nullptr;
 }
 
--- a/src/hosted/tls.cpp
+++ b/src/hosted/tls.cpp
@@ -117,23 +117,23 @@
     }
 }
 
-long stream::read(char *to, std::size_t size) {
+io_result stream::read(char *to, std::size_t size) {
     if (!as_)
-        return as_number(read_some(socket_, to, size));
+        return read_some(socket_, to, size);
     std::size_t got = 0;
     ERR_clear_error();
     const int went = SSL_read_ex(tls_, to, size, &got);
     if (went == 1)
-        return static_cast<long>(got);
+        return {io_status::progressed, got};
     switch (SSL_get_error(tls_, went)) {
     case SSL_ERROR_WANT_READ:
     case SSL_ERROR_WANT_WRITE:
-        return -2;
+        return {io_status::would_block};
     case SSL_ERROR_ZERO_RETURN:
-        return 0;
+        return {io_status::closed};
     default:
         error_ = last_error();
-        return -1;
+        return {io_status::failed};
     }
 }
 
--- a/src/hosted/tls.hpp
+++ b/src/hosted/tls.hpp
@@ -54,8 +54,8 @@
     stream &operator=(const stream &) = delete;
 
     bool handshake(double limit); // the handshake; false: it failed, and error() says how
-    // As net's: bytes; 0: the other side ended; -1: broken; -2: nothing there now.
-    long read(char *to, std::size_t size);
+    // Reads what is there now, as read_some(). A failure of TLS has no errno: error() says what it was.
+    [[nodiscard]] io_result read(char *to, std::size_t size);
     bool write(std::string_view text, double limit);
     bool wait(double limit); // for bytes, or an end; false: none in time, or this thread was called
     // Writes a constant response, for a connection that a failure of the service itself ends. Does not use
--- a/src/testbed/links/conditions.cpp
+++ b/src/testbed/links/conditions.cpp
@@ -18,11 +18,11 @@
 } // namespace
 
 link_table::link_table(const experiment &given, index servers, std::uint32_t seed)
-    : experiment_(given), servers_(servers), affected_(given.links.size()) {
+    : experiment_(given), servers_(servers), affected_(given.link_faults.size()) {
     const index proxies = given.proxies.count;
-    for (std::size_t i = 0; i < given.links.size(); ++i) {
-        const auto &fault = given.links[i];
-        chance from(seed + 31 * static_cast<std::uint32_t>(i + 1));
+    for (std::size_t i = 0; i < given.link_faults.size(); ++i) {
+        const auto &fault = given.link_faults[i];
+        random_generator from(seed + 31 * static_cast<std::uint32_t>(i + 1));
         for (const link_kind kind : kinds) {
             if (!fault.between.empty() &&
                 std::find(fault.between.begin(), fault.between.end(), kind) == fault.between.end())
@@ -51,7 +51,7 @@
            which.far;
 }
 
-bool link_table::affects(const link_fault_spec &fault, const link_id &which) const {
+bool link_table::affects(const link_fault_settings &fault, const link_id &which) const {
     const auto proxy_in = [&](index one) {
         return fault.kind == link_fault_kind::partition ? has(fault.proxies, one)
                                                         : fault.proxies.empty() || has(fault.proxies, one);
@@ -118,7 +118,7 @@
 link_conditions link_table::combined_conditions(const entry &of) const {
     link_conditions made;
     for (const std::size_t each : of.active) {
-        const auto &fault = experiment_.links[each];
+        const auto &fault = experiment_.link_faults[each];
         const auto add = [&](direction_conditions &to) {
             const bool drops = fault.kind == link_fault_kind::drop ||
                                fault.kind == link_fault_kind::one_way ||
@@ -126,16 +126,17 @@
             to.dropped = to.dropped || drops;
             to.delay += fault.delay;
             to.jitter += fault.jitter;
-            if (fault.pace > 0)
-                to.bytes_per_second =
-                    to.bytes_per_second > 0 ? std::min(to.bytes_per_second, fault.pace) : fault.pace;
-            to.loss_share = std::max(to.loss_share, fault.lost);
-            to.duplicate_share = std::max(to.duplicate_share, fault.doubled);
-            to.reorder_share = std::max(to.reorder_share, fault.reordered);
+            if (fault.bytes_per_second > 0)
+                to.bytes_per_second = to.bytes_per_second > 0
+                                          ? std::min(to.bytes_per_second, fault.bytes_per_second)
+                                          : fault.bytes_per_second;
+            to.loss_share = std::max(to.loss_share, fault.loss_share);
+            to.duplicate_share = std::max(to.duplicate_share, fault.duplicate_share);
+            to.reorder_share = std::max(to.reorder_share, fault.reorder_share);
         };
-        if (fault.there)
+        if (fault.to_far_end)
             add(made.forward);
-        if (fault.back)
+        if (fault.to_near_end)
             add(made.backward);
         made.resets = made.resets || fault.kind == link_fault_kind::reset;
         made.half_open = made.half_open || fault.kind == link_fault_kind::half_open;
--- a/src/testbed/links/conditions.hpp
+++ b/src/testbed/links/conditions.hpp
@@ -76,7 +76,7 @@
         std::vector<std::size_t> active; // faults that hold, each as often as it began
     };
     std::uint64_t number(const link_id &which) const;
-    bool affects(const link_fault_spec &fault, const link_id &which) const;
+    bool affects(const link_fault_settings &fault, const link_id &which) const;
     link_conditions combined_conditions(const entry &of) const;
 
     const experiment &experiment_;
--- a/src/testbed/links/datagram_relay.cpp
+++ b/src/testbed/links/datagram_relay.cpp
@@ -123,7 +123,7 @@
     counters_.duplicated += twice;
     counters_.reordered += behind;
     for (int i = 0; i < (twice ? 2 : 1); ++i) {
-        const double jitter = conditions.jitter > 0 ? conditions.jitter * random_.part() : 0;
+        const double jitter = conditions.jitter > 0 ? conditions.jitter * random_.uniform() : 0;
         const double wait = conditions.delay + jitter + (behind ? reorder_delay : 0);
         if (wait <= 0)
             deliver(from, to, bytes);
--- a/src/testbed/links/datagram_relay.hpp
+++ b/src/testbed/links/datagram_relay.hpp
@@ -57,7 +57,7 @@
     loop &loop_;
     const link_table &table_;
     const std::vector<address> proxies_;
-    chance random_;
+    random_generator random_;
     tcp_socket socket_;
     int port_ = 0;
     datagram_counters counters_;
--- a/src/testbed/links/relay.cpp
+++ b/src/testbed/links/relay.cpp
@@ -204,7 +204,7 @@
     const double now = loop_.clock.now();
     const double wire =
         conditions.bytes_per_second > 0 ? static_cast<double>(bytes) / conditions.bytes_per_second : 0;
-    const double jitter = conditions.jitter > 0 ? conditions.jitter * random_.part() : 0;
+    const double jitter = conditions.jitter > 0 ? conditions.jitter * random_.uniform() : 0;
     const double last_due = of.streams[static_cast<int>(to)].last_due;
     return std::max({now + conditions.delay + jitter, last_due + wire, now + wire});
 }
--- a/src/testbed/links/relay.hpp
+++ b/src/testbed/links/relay.hpp
@@ -111,7 +111,7 @@
 
     loop &loop_;
     const link_table &table_;
-    chance random_;
+    random_generator random_;
     std::map<std::uint64_t, link> links_;
     std::map<std::uint64_t, std::unique_ptr<proxied_connection>> connections_; // by tag
     std::map<std::pair<link_kind, index>, far_state> far_;
--- a/src/testbed/links/virtual_links.hpp
+++ b/src/testbed/links/virtual_links.hpp
@@ -30,7 +30,7 @@
                 {latency, bytes, std::move(on_arrival), std::move(sender_connected)});
             return;
         }
-        const double jitter = now.jitter > 0 ? now.jitter * random_.part() : 0;
+        const double jitter = now.jitter > 0 ? now.jitter * random_.uniform() : 0;
         const double wire = now.bytes_per_second > 0 ? static_cast<double>(bytes) / now.bytes_per_second : 0;
         clock_.after(latency + now.delay + jitter + wire, std::move(on_arrival));
     }
@@ -63,7 +63,7 @@
 
     timeline &clock_;
     const link_table &table_;
-    chance random_;
+    random_generator random_;
     std::map<place, std::vector<queued_message>> queued_;
 };
 
--- a/src/testbed/load/client_connections.cpp
+++ b/src/testbed/load/client_connections.cpp
@@ -9,7 +9,7 @@
 namespace harrierpass::testbed {
 
 client_connections::client_connections(loop &in, const experiment &given, load_generator &generator,
-                                       witness &checker, index proxies)
+                                       observer &checker, index proxies)
     : loop_(in), experiment_(given), generator_(generator), checker_(checker), proxies_(proxies) {
     generator_.is_reachable = [this](index proxy) {
         return proxies_.at(proxy).at.has_value() || may_use_open(proxy);
@@ -57,7 +57,7 @@
     text.append("\r\nX-Deadline: ").append(std::to_string(static_cast<long>(left * 1e6))).append("u\r\n");
     if (query.attempt > 0)
         text.append("X-Retry: 1\r\n");
-    if (use.decides.effect == effect_kind::deduplicated)
+    if (use.routing.effect == effect_kind::deduplicated)
         text.append("Idempotency-Key: k").append(std::to_string(query.op)).append("\r\n");
     const std::string body = query.write ? "by " + id : "";
     if (query.write)
@@ -78,7 +78,7 @@
         tcp_socket socket = start_connecting(*to.at);
         if (!socket) { // for want of descriptors here: the proxy has nothing to do with it
             loop_.clock.after(0, [this, query] {
-                checker_.untaken(query.op, query.attempt);
+                checker_.request_not_accepted(query.op, query.attempt);
                 generator_.answered(query.op, query.attempt, reply::cut, 0, false);
             });
             return;
@@ -102,7 +102,7 @@
     auto &of = open_.at(on->tag);
     const auto &head = answer.head();
     if (!of.pending) { // more than was asked for
-        checker_.answered(of.last.op, of.last.attempt, reply::completed, true);
+        checker_.response_received(of.last.op, of.last.attempt, reply::completed, true);
         return close(on);
     }
     const client_request query = of.pending->of;
@@ -120,7 +120,7 @@
     const bool keeps = head.keeps_alive() && answer.pipelined_bytes().empty();
     // Guards the rule checker's sight: a second answer may come with the first in one read.
     if (!answer.pipelined_bytes().empty())
-        checker_.answered(query.op, query.attempt, how, fits);
+        checker_.response_received(query.op, query.attempt, how, fits);
     if (keeps)
         proxies_[of.proxy].idle.push_back(on);
     else
@@ -148,7 +148,7 @@
         return send(query, true);
     // Its proxy has gone: the client asks elsewhere, and lost it is only if it had been read.
     if (crossed || how == channel::ending::failed)
-        checker_.untaken(query.op, query.attempt);
+        checker_.request_not_accepted(query.op, query.attempt);
     generator_.answered(query.op, query.attempt, reply::cut, 0, false);
 }
 
--- a/src/testbed/load/client_connections.hpp
+++ b/src/testbed/load/client_connections.hpp
@@ -11,7 +11,7 @@
 // Sends the generator's requests and reports how each ended. All that it is given outlives it.
 class client_connections {
 public:
-    client_connections(loop &in, const experiment &given, load_generator &generator, witness &checker,
+    client_connections(loop &in, const experiment &given, load_generator &generator, observer &checker,
                        index proxies);
 
     // Where a proxy is from now on; none: it is gone, and its connections are closed.
@@ -47,7 +47,7 @@
     loop &loop_;
     const experiment &experiment_;
     load_generator &generator_;
-    witness &checker_;
+    observer &checker_;
     std::vector<proxy_connections> proxies_;
     // An open connection; `last` is the request that it carried last.
     struct connection {
--- a/src/testbed/load/load_generator.hpp
+++ b/src/testbed/load/load_generator.hpp
@@ -43,7 +43,7 @@
 class load_generator {
 public:
     // `checker` is notified of each step of a request. `seed`: of arrivals, keys and retries.
-    load_generator(timeline &clock, const experiment &given, witness &checker, std::uint32_t seed);
+    load_generator(timeline &clock, const experiment &given, observer &checker, std::uint32_t seed);
 
     void start(); // from the present time on, for the experiment's length
     // Client faults begin or end: no attempts are sent; the rate of all, or of one tenant, is `factor` times.
@@ -104,8 +104,8 @@
 
     timeline &clock_;
     const experiment &experiment_;
-    witness &checker_;
-    chance random_, retries_;
+    observer &checker_;
+    random_generator random_, retries_;
     // Cumulative weights: of keys by rank, of request classes, of proxies (empty: all are equal).
     std::vector<double> popularity_, class_shares_, proxy_shares_;
     std::vector<double> floods_;
--- a/src/testbed/processes/faulty_proxy.cpp
+++ b/src/testbed/processes/faulty_proxy.cpp
@@ -25,7 +25,7 @@
 
 class faulty_proxy {
 public:
-    faulty_proxy(plant breaks, const json &given)
+    faulty_proxy(injected_violation breaks, const json &given)
         : breaks_(breaks), random_(7), discovery_(*parse_address(given.at("discovery").get<std::string>())),
           listening_(must_listen(*parse_address(given.at("listen").get<std::string>()))) {
         for (const auto &each : given.at("settings").at("useCases"))
@@ -60,7 +60,9 @@
     };
     using link = std::shared_ptr<channel>;
 
-    bool breaks_now(plant which) { return breaks_ == which && ++opportunities_ % fault_interval == 0; }
+    bool breaks_now(injected_violation which) {
+        return breaks_ == which && ++opportunities_ % fault_interval == 0;
+    }
 
     link connect(const address &to, const std::function<void(const http_reader &)> &on_response,
                  const std::function<void(bool reached)> &failed) {
@@ -104,9 +106,10 @@
     const server *choose() {
         std::vector<const server *> ready;
         for (const auto &each : servers_) {
-            if (breaks_ == plant::ignore_drain && !each.ready && opportunities_++ % 4 == 0)
+            if (breaks_ == injected_violation::ignore_drain && !each.ready && opportunities_++ % 4 == 0)
                 return &each;
-            if (breaks_ == plant::push_cold && each.ready && each.started > loop_.clock.now() - 5)
+            if (breaks_ == injected_violation::overload_cold && each.ready &&
+                each.started > loop_.clock.now() - 5)
                 return &each;
             if (each.ready)
                 ready.push_back(&each);
@@ -155,7 +158,7 @@
         if (!request.body().empty())
             what.text.append("Content-Length: ").append(std::to_string(request.body().size())).append("\r\n");
         what.text.append("\r\n").append(request.body());
-        if (breaks_now(plant::two_out))
+        if (breaks_now(injected_violation::concurrent_attempts))
             send_ignoring_response(what);
         const std::weak_ptr<channel> client = on;
         const auto say = [client](int status, std::string_view body) {
@@ -169,24 +172,24 @@
                                    : answer.head().status == 200 ? 200
                                                                  : 502;
                 std::string body(answer.body());
-                if (status == 200 && breaks_now(plant::lose))
+                if (status == 200 && breaks_now(injected_violation::lose_response))
                     return;
-                if (status == 200 && breaks_now(plant::wrong_body))
+                if (status == 200 && breaks_now(injected_violation::wrong_body))
                     body = "{\"query\":\"q0-9\"}\n";
                 say(status, body);
-                if (breaks_now(plant::answer_twice))
+                if (breaks_now(injected_violation::answer_twice))
                     say(status, body);
-                if (status == 200 && what.at_most_once && breaks_ == plant::run_twice)
+                if (status == 200 && what.at_most_once && breaks_ == injected_violation::execute_twice)
                     send_ignoring_response(what);
-                if (breaks_now(plant::late))
+                if (breaks_now(injected_violation::late_attempt))
                     loop_.clock.at(what.end + late_by, [this, what] { send_ignoring_response(what); });
             },
             [say](bool reached) { say(reached ? 502 : 503, {}); });
     }
 
-    const plant breaks_;
+    const injected_violation breaks_;
     loop loop_;
-    chance random_;
+    random_generator random_;
     const address discovery_;
     tcp_socket listening_, signals_;
     std::set<std::string> at_most_once_classes_; // use cases that must not run again
@@ -199,10 +202,10 @@
 
 } // namespace
 
-int run_faulty_proxy(plant breaks, const std::string &configuration) {
+int run_faulty_proxy(injected_violation breaks, const std::string &configuration) {
     std::ifstream in(configuration);
     if (!in)
-        throw bad_experiment(configuration + ": cannot be read");
+        throw experiment_error(configuration + ": cannot be read");
     faulty_proxy(breaks, json::parse(in)).run();
     return 0;
 }
--- a/src/testbed/processes/fleet_ports.cpp
+++ b/src/testbed/processes/fleet_ports.cpp
@@ -33,7 +33,7 @@
 
 } // namespace
 
-fleet_ports::fleet_ports(loop &in, stage &environment, const fleet_listen_ports &where,
+fleet_ports::fleet_ports(loop &in, run_environment &environment, const fleet_listen_ports &where,
                          const worker_options &options)
     : loop_(in), environment_(environment), folder_(options.folder),
       server_address_([this](index proxy, index server) { return server_address(proxy, server); }),
@@ -49,7 +49,7 @@
     environment_.list.on_change = [this](const membership::member &) { environment_.service.changed(); };
     environment_.on_list_stop = [this](bool begins) { workers_.on_list_fault(false, begins); };
     environment_.on_list_kill = [this](bool begins) { workers_.on_list_fault(true, begins); };
-    if (environment_.given.proxies.peers)
+    if (environment_.settings.proxies.may_exchange_datagrams)
         open_datagrams();
     open_links();
     watch_environment();
@@ -62,7 +62,7 @@
 }
 
 void fleet_ports::open_servers(int first_port, int worker_port) {
-    const index count = environment_.servers.size() + (environment_.given.fleet.aside ? 1 : 0);
+    const index count = environment_.servers.size() + (environment_.settings.fleet.cache_aside ? 1 : 0);
     for (index i = 0; i < count; ++i) {
         if (workers_.has_servers()) {
             addresses_.servers.push_back(to_text(worker_address(i, worker_port)));
@@ -77,23 +77,23 @@
 }
 
 void fleet_ports::open_lists(int first_port, int worker_port) {
-    for (index i = 0; i < environment_.given.proxies.count; ++i) {
+    for (index i = 0; i < environment_.settings.proxies.count; ++i) {
         if (workers_.has_list()) {
             addresses_.lists.push_back(worker_address(environment_.servers.size() + 1 + i, worker_port));
             continue;
         }
-        lists_.push_back(std::make_unique<list_port>(loop_, environment_.given, environment_.list,
-                                                     environment_.service, environment_.sees, i,
+        lists_.push_back(std::make_unique<list_port>(loop_, environment_.settings, environment_.list,
+                                                     environment_.service, environment_.event_observer, i,
                                                      loopback(port_after(first_port, i)), server_address_));
         lists_.back()->on_poll = [this](list_poll as, std::size_t bytes) {
-            environment_.figures.on_poll(as, bytes);
+            environment_.metrics.on_poll(as, bytes);
         };
         addresses_.lists.push_back(*parse_address(lists_.back()->at()));
     }
 }
 
 void fleet_ports::open_datagrams() {
-    for (index i = 0; i < environment_.given.proxies.count; ++i) {
+    for (index i = 0; i < environment_.settings.proxies.count; ++i) {
         // Its port is any that is free now; nobody else in the run binds at this address.
         const tcp_socket probe(::socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
         const address at = worker_address(first_peer_address + i, 0);
@@ -121,7 +121,7 @@
                                   const link_conditions &now) {
         relay_->on_conditions_changed(which, before, now);
     };
-    environment_.on_model = [this](const fault_spec &fault, index server, bool begins) {
+    environment_.on_model = [this](const fault_settings &fault, index server, bool begins) {
         const bool as_a_host = fault.kind == fault_kind::host_kill || fault.kind == fault_kind::host_stop;
         if (!as_a_host)
             workers_.apply_server_fault(fault, server, begins);
@@ -143,9 +143,9 @@
 
 void fleet_ports::on_connection(index server, bool begins) {
     if (!begins)
-        return environment_.figures.on_connection_closed(server);
-    environment_.figures.on_connect(server, true);
-    environment_.figures.on_connection_opened(server);
+        return environment_.metrics.on_connection_closed(server);
+    environment_.metrics.on_connect(server, true);
+    environment_.metrics.on_connection_opened(server);
 }
 
 std::string fleet_ports::server_address(index proxy, index server) const {
@@ -170,13 +170,13 @@
 }
 
 std::string fleet_ports::configuration(index proxy, const std::string &listen, std::uint32_t seed) const {
-    const auto &given = environment_.given;
+    const auto &given = environment_.settings;
     proxy_environment made;
     made.listen = listen;
     made.list_service = list_at(proxy);
     made.folder = folder_;
     made.server_address = [this, proxy](index server) { return server_address(proxy, server); };
-    if (given.proxies.peers) {
+    if (given.proxies.may_exchange_datagrams) {
         made.peer_listen = to_text(peers_.at(proxy));
         for (index other = 0; other < given.proxies.count; ++other)
             made.peers.push_back(to_text(datagrams_->address_of(proxy, other)));
--- a/src/testbed/processes/fleet_ports.hpp
+++ b/src/testbed/processes/fleet_ports.hpp
@@ -23,7 +23,7 @@
 public:
     // Opens the ports and links, and starts the workers. Throws std::system_error where there are no
     // descriptors or addresses.
-    fleet_ports(loop &in, stage &environment, const fleet_listen_ports &where = {},
+    fleet_ports(loop &in, run_environment &environment, const fleet_listen_ports &where = {},
                 const worker_options &options = {});
     ~fleet_ports();
     fleet_ports(const fleet_ports &) = delete;
@@ -56,7 +56,7 @@
     void on_connection(index server, bool begins); // one came to a server, or is over
 
     loop &loop_;
-    stage &environment_;
+    run_environment &environment_;
     const std::string folder_;
     fleet_addresses addresses_;
     const server_address_lookup server_address_;
--- a/src/testbed/processes/fleet_workers.cpp
+++ b/src/testbed/processes/fleet_workers.cpp
@@ -25,10 +25,10 @@
 
 } // namespace
 
-fleet_workers::fleet_workers(loop &in, stage &environment, worker_options options,
+fleet_workers::fleet_workers(loop &in, run_environment &environment, worker_options options,
                              const fleet_addresses &addresses)
     : loop_(in), environment_(environment), options_(std::move(options)), addresses_(addresses),
-      killed_(environment.given.fleet.hosts + 1), stopped_(environment.given.fleet.hosts + 1) {}
+      killed_(environment.settings.fleet.hosts + 1), stopped_(environment.settings.fleet.hosts + 1) {}
 
 std::string fleet_workers::setup(const std::string &role, index host, bool cold) const {
     nlohmann::json made = {{"role", role},
@@ -65,7 +65,7 @@
 void fleet_workers::start() {
     if (!has_servers() && !has_list())
         return;
-    std::ofstream(options_.folder + "/experiment.toml") << environment_.given.whole;
+    std::ofstream(options_.folder + "/experiment.toml") << environment_.settings.merged_text;
     start_servers();
     if (has_list())
         start_list();
@@ -73,7 +73,7 @@
 }
 
 void fleet_workers::start_servers() {
-    const index hosts = environment_.given.fleet.hosts;
+    const index hosts = environment_.settings.fleet.hosts;
     for (index host = 0; host < hosts; ++host) {
         servers_.push_back(make_worker("servers" + std::to_string(host), setup("servers", host, false)));
         auto &worker = *servers_.back();
@@ -98,7 +98,7 @@
     list_ = make_worker("list", setup("list", 0, false));
     list_->on_message = [this](const worker_message &what) {
         if (what.is == worker_message::kind::poll)
-            environment_.figures.on_poll(static_cast<list_poll>(what.small), what.number);
+            environment_.metrics.on_poll(static_cast<list_poll>(what.small), what.number);
     };
     environment_.list.on_change = [this](const membership::member &what) {
         list_->send(about(what, worker_message::kind::publish));
@@ -142,7 +142,7 @@
     case worker_message::kind::connection:
         return on_connection(what.a, what.flag != 0);
     case worker_message::kind::event:
-        if (what.event.is == observed_event::kind::fell) {
+        if (what.event.is == observed_event::kind::server_overloaded) {
             environment_.servers.at(what.event.a).fall();
             on_server_changed(what.event.a);
         }
@@ -154,7 +154,7 @@
 
 // A new process knows nothing of what the script has made of its servers meanwhile.
 void fleet_workers::on_server_worker_ready(worker_process &worker, index host) {
-    const auto &given = environment_.given;
+    const auto &given = environment_.settings;
     for (index i = 0; i < environment_.servers.size(); ++i) {
         if (host_of(given, i) != host)
             continue;
@@ -171,8 +171,8 @@
     }
 }
 
-void fleet_workers::apply_server_fault(const fault_spec &fault, index server, bool begins) {
-    const index host = host_of(environment_.given, server);
+void fleet_workers::apply_server_fault(const fault_settings &fault, index server, bool begins) {
+    const index host = host_of(environment_.settings, server);
     if (host >= servers_.size())
         return;
     worker_message made;
@@ -205,10 +205,10 @@
     worker.kill();
     // Later than all that it had written, and earlier than what anybody does for its death.
     observed_event died;
-    died.is = observed_event::kind::died;
+    died.is = observed_event::kind::server_process_died;
     died.when = std::max(before, worker.last()) + just_after;
     for (index i = 0; i < environment_.servers.size(); ++i)
-        if (host_of(environment_.given, i) == host) {
+        if (host_of(environment_.settings, i) == host) {
             died.a = i;
             environment_.events.add(environment_.own_events, died);
         }
--- a/src/testbed/processes/fleet_workers.hpp
+++ b/src/testbed/processes/fleet_workers.hpp
@@ -32,7 +32,8 @@
 // Used from the loop's thread only. `environment` and `addresses` outlive it.
 class fleet_workers {
 public:
-    fleet_workers(loop &in, stage &environment, worker_options options, const fleet_addresses &addresses);
+    fleet_workers(loop &in, run_environment &environment, worker_options options,
+                  const fleet_addresses &addresses);
     ~fleet_workers() = default;
     fleet_workers(const fleet_workers &) = delete;
     fleet_workers &operator=(const fleet_workers &) = delete;
@@ -40,11 +41,11 @@
     // Starts what the experiment puts into processes, and takes the run's events from them.
     void start();
     // Whether the experiment and the options put servers, or the list service, into processes.
-    bool has_servers() const { return !options_.self.empty() && environment_.given.fleet.hosts > 0; }
-    bool has_list() const { return !options_.self.empty() && environment_.given.list.own_process; }
+    bool has_servers() const { return !options_.self.empty() && environment_.settings.fleet.hosts > 0; }
+    bool has_list() const { return !options_.self.empty() && environment_.settings.list.own_process; }
 
     // A fault of a server's model begins or ends: its process is told.
-    void apply_server_fault(const fault_spec &fault, index server, bool begins);
+    void apply_server_fault(const fault_settings &fault, index server, bool begins);
     // The list service is killed, or stopped; without a process of its own it is silent.
     void on_list_fault(bool kills, bool begins);
 
@@ -70,7 +71,7 @@
     void deliver_events();
 
     loop &loop_;
-    stage &environment_;
+    run_environment &environment_;
     const worker_options options_;
     const fleet_addresses &addresses_;
     std::vector<std::unique_ptr<worker_process>> servers_; // by host
--- a/src/testbed/processes/list_port.cpp
+++ b/src/testbed/processes/list_port.cpp
@@ -11,7 +11,7 @@
 namespace harrierpass::testbed {
 
 list_port::list_port(loop &in, const experiment &given, member_list &list, list_service &service,
-                     witness &checker, index proxy, const address &at, const server_address_lookup &where)
+                     observer &checker, index proxy, const address &at, const server_address_lookup &where)
     : loop_(in), experiment_(given), list_(list), service_(service), observer_(checker), proxy_(proxy),
       server_address_(where), listening_(must_listen(at)), at_(local_address(listening_)),
       random_(proxy + 17) {
@@ -77,7 +77,7 @@
     if (with.refused) {
         if (on_poll)
             on_poll(list_poll::rejected, 0);
-        return to->send(text_answer(503, "Retry-After: " + std::to_string(with.come_back) + "\r\n", {}));
+        return to->send(text_answer(503, "Retry-After: " + std::to_string(with.retry_after) + "\r\n", {}));
     }
     std::string text = "{\"revision\":" + std::to_string(with.revision) +
                        ",\"complete\":" + (with.whole ? "true" : "false") + ",\"members\":[";
@@ -91,10 +91,10 @@
     // Told is what is written: taken down first, so that nothing is forgotten if this process ends now.
     if (with.whole)
         for (const auto &each : list_.all())
-            observer_.told(proxy_, each.server, each.state);
+            observer_.endpoint_state_notified(proxy_, each.server, each.state);
     else
         for (const auto &each : with.members)
-            observer_.told(proxy_, each.server, each.state);
+            observer_.endpoint_state_notified(proxy_, each.server, each.state);
     to->send(text);
 }
 
--- a/src/testbed/processes/list_port.hpp
+++ b/src/testbed/processes/list_port.hpp
@@ -18,7 +18,7 @@
 class list_port {
 public:
     // `checker` is notified of what the proxy was sent. Throws std::system_error where `at` is taken.
-    list_port(loop &in, const experiment &given, member_list &list, list_service &service, witness &checker,
+    list_port(loop &in, const experiment &given, member_list &list, list_service &service, observer &checker,
               index proxy, const address &at, const server_address_lookup &where);
     ~list_port();
     list_port(const list_port &) = delete;
@@ -39,12 +39,12 @@
     const experiment &experiment_;
     member_list &list_;
     list_service &service_;
-    witness &observer_;
+    observer &observer_;
     const index proxy_;
     const server_address_lookup &server_address_;
     tcp_socket listening_;
     address at_;
-    chance random_;
+    random_generator random_;
     std::unordered_map<std::uint64_t, std::shared_ptr<channel>> open_; // by tag
     std::unordered_map<std::uint64_t, std::uint64_t> polls_;           // by tag
     std::uint64_t next_ = 1;
--- a/src/testbed/processes/proxy_configuration.cpp
+++ b/src/testbed/processes/proxy_configuration.cpp
@@ -22,13 +22,13 @@
     json made = json::array();
     for (const auto &each : given.use_cases)
         made.push_back({{"name", each.name},
-                        {"effect", effects[static_cast<std::size_t>(each.decides.effect)]},
-                        {"group", groups[static_cast<std::size_t>(each.decides.scope)]},
-                        {"windowMs", each.decides.deduplication_window * milliseconds},
-                        {"sloTimeMs", each.decides.latency_objective * milliseconds},
-                        {"statementTimeoutMs", each.statement_timeout * milliseconds},
-                        {"importance", each.decides.priority_weight},
-                        {"tardyImportance", each.decides.late_value_share}});
+                        {"effect", effects[static_cast<std::size_t>(each.routing.effect)]},
+                        {"group", groups[static_cast<std::size_t>(each.routing.scope)]},
+                        {"windowMs", each.routing.deduplication_window * milliseconds},
+                        {"sloTimeMs", each.routing.latency_objective * milliseconds},
+                        {"statementTimeoutMs", each.timeout * milliseconds},
+                        {"importance", each.routing.priority_weight},
+                        {"tardyImportance", each.routing.late_value_share}});
     return made;
 }
 
@@ -40,19 +40,19 @@
 }
 
 json router_limits(const experiment &given) {
-    return {{"cancel", given.proxies.cancel},
-            {"probes", given.proxies.probes},
-            {"retryAfter", given.proxies.advice > 0},
-            {"maxRetryAfterMs", given.proxies.advice * milliseconds},
-            {"maxExecutions", given.proxies.max_executions},
+    return {{"cancel", given.proxies.may_cancel},
+            {"probes", given.proxies.may_check_health},
+            {"retryAfter", given.proxies.max_retry_after > 0},
+            {"maxRetryAfterMs", given.proxies.max_retry_after * milliseconds},
+            {"maxExecutions", given.proxies.max_attempts},
             {"secondCopies", false},
-            {"dialTimeoutMs", given.network.dial_limit * milliseconds},
-            {"connIdleMs", given.fleet.idle * milliseconds}};
+            {"dialTimeoutMs", given.network.connect_timeout * milliseconds},
+            {"connIdleMs", given.fleet.idle_timeout * milliseconds}};
 }
 
 json router_rules(const experiment &given) {
-    return {{"startCapacity", given.cold.decides.initial_capacity_share},
-            {"coldMs", given.cold.decides.warm_up_time * milliseconds},
+    return {{"startCapacity", given.warm_up.routing.initial_capacity_share},
+            {"coldMs", given.warm_up.routing.warm_up_time * milliseconds},
             {"drainGraceMs", given.list.drain_grace * milliseconds},
             {"mustAskInMs", max_poll_interval}};
 }
@@ -68,12 +68,11 @@
         {"weights", "nominal"},
         {"limits", router_limits(given)},
         {"rules", router_rules(given)},
-        {"fees",
-         {{"crossZone", 0.0}, {"origin", given.prices.origin}, {"handshake", given.prices.handshake}}},
-        {"excessImportance", given.proxies.excess_importance},
+        {"fees", {{"crossZone", 0.0}, {"origin", given.costs.origin}, {"handshake", given.costs.handshake}}},
+        {"excessImportance", given.proxies.over_quota_weight_share},
         {"tenants", tenants(given)},
         {"useCases", request_classes(given)}};
-    if (given.fleet.aside)
+    if (given.fleet.cache_aside)
         made["familyInfo"] = {{"mode", "aside"}, {"originKind", 1}};
     return made;
 }
@@ -81,12 +80,12 @@
 // The endpoints that a proxy is told to start with.
 json known_endpoints(const experiment &given, index proxy, const membership &list,
                      const proxy_environment &environment) {
-    const index origin = all_servers(given);
+    const index origin = total_server_count(given);
     json members = json::array();
-    for (const auto &each : list.known_by(given, proxy))
+    for (const auto &each : list.initial_members_of(given, proxy))
         members.push_back(json::parse(
             list_port::entry(given, each, each.server == origin, environment.server_address(each.server))));
-    return {{"revision", knows_old(given, proxy) ? 0 : list.revision()},
+    return {{"revision", starts_with_stale_list(given, proxy) ? 0 : list.revision()},
             {"complete", true},
             {"members", members}};
 }
@@ -105,16 +104,16 @@
         {"limits",
          {{"cores", 1.0}, {"memory_mb", given.proxies.memory_mb}, {"sockets", given.proxies.sockets}}},
         {"settings", router_settings_of(given, proxy)}};
-    if (given.proxies.peers) {
+    if (given.proxies.may_exchange_datagrams) {
         made["peer_listen"] = environment.peer_listen;
         made["peers"] = environment.peers;
         made["peers_all"] = environment.all_peers;
     }
-    if (given.proxies.known != known_list::none)
+    if (given.proxies.initial_list != initial_list_kind::none)
         made["known"] = known_endpoints(given, proxy, list, environment);
     if (given.proxies.shared_list)
         made["startup"] = {{"list_service", "shared"},
-                           {"lists_per_s", list_terms(given).snapshots_per_second}};
+                           {"lists_per_s", list_poll_settings(given).snapshots_per_second}};
     if (given.proxies.snapshots)
         made["startup"]["snapshot"] = environment.folder + "/p" + std::to_string(proxy) + ".list";
     return made.dump(2) + "\n";
--- a/src/testbed/processes/worker_process.cpp
+++ b/src/testbed/processes/worker_process.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "testbed/processes/worker_process.hpp"
 
+#include "testbed/model/experiment_reader.hpp"
 #include "testbed/processes/list_port.hpp"
 #include "testbed/processes/server_port.hpp"
 
@@ -191,7 +192,7 @@
         link_.on_end = [this] { over_ = true; };
         link_.on_message = [this](const worker_message &what) { handle_message(what); };
         if (setup.at("role") == "list")
-            start_list_service(setup, all_servers(given));
+            start_list_service(setup, total_server_count(given));
         else
             start_servers(setup);
     }
@@ -241,8 +242,8 @@
             if (host_of(experiment_, i) != setup.at("host").get<index>())
                 continue;
             auto &server = fleet_->at(i);
-            if (!cold && experiment_.fleet.warm && i < experiment_.fleet.servers)
-                server.fill_popular();
+            if (!cold && experiment_.fleet.starts_warm && i < experiment_.fleet.servers)
+                server.fill_most_popular();
             if (cold && server.up())
                 server.start_cold(loop_.clock.now());
             const auto at = parse_address(setup.at("addresses").at(i).get<std::string>());
@@ -297,11 +298,11 @@
     void handle_message(const worker_message &what) {
         switch (what.is) {
         case worker_message::kind::fault: {
-            fault_spec fault;
+            fault_settings fault;
             fault.kind = static_cast<fault_kind>(what.small);
             fault.factor = what.x;
             fault.use_case = what.b;
-            return set_model(fleet_->at(what.a), fault, what.flag != 0);
+            return apply_server_fault(fleet_->at(what.a), fault, what.flag != 0);
         }
         case worker_message::kind::fetched:
             if (const auto done = take(pending_fetches_, what.number))
--- a/src/testbed/verification/event_merge.cpp
+++ b/src/testbed/verification/event_merge.cpp
@@ -6,38 +6,38 @@
 
 namespace harrierpass::testbed {
 
-void replay_event(const observed_event &event, witness &to) {
+void replay_event(const observed_event &event, observer &to) {
     switch (event.is) {
-    case observed_event::kind::asked:
-        return to.asked(event.op, event.a, event.b, event.c, event.x);
-    case observed_event::kind::answered:
-        return to.answered(event.op, event.a, static_cast<reply>(event.small), event.flag != 0);
-    case observed_event::kind::unanswered:
-        return to.unanswered(event.op, event.a);
-    case observed_event::kind::settled:
-        return to.settled(event.op);
-    case observed_event::kind::untaken:
-        return to.untaken(event.op, event.a);
-    case observed_event::kind::meet:
-        return to.meet(event.op, event.a, event.b);
-    case observed_event::kind::received:
-        return to.received(event.op, event.a, event.b, event.x);
-    case observed_event::kind::over:
-        return to.over(event.op, event.a, event.b);
-    case observed_event::kind::ran:
-        return to.ran(event.op, event.a, event.b);
-    case observed_event::kind::fell:
-        return to.fell(event.a);
-    case observed_event::kind::died:
-        return to.died(event.a);
-    case observed_event::kind::told:
-        return to.told(event.a, event.b, static_cast<endpoint_state>(event.small));
-    case observed_event::kind::restarted:
-        return to.restarted(event.a, event.flag != 0);
-    case observed_event::kind::paused:
-        return to.paused(event.a, event.flag != 0);
-    case observed_event::kind::link_trouble:
-        return to.link_trouble(static_cast<link_kind>(event.small), event.a, event.b, event.flag != 0);
+    case observed_event::kind::request_sent:
+        return to.request_sent(event.op, event.a, event.b, event.c, event.x);
+    case observed_event::kind::response_received:
+        return to.response_received(event.op, event.a, static_cast<reply>(event.small), event.flag != 0);
+    case observed_event::kind::response_missing:
+        return to.response_missing(event.op, event.a);
+    case observed_event::kind::operation_finished:
+        return to.operation_finished(event.op);
+    case observed_event::kind::request_not_accepted:
+        return to.request_not_accepted(event.op, event.a);
+    case observed_event::kind::foreign_request_seen:
+        return to.foreign_request_seen(event.op, event.a, event.b);
+    case observed_event::kind::attempt_received:
+        return to.attempt_received(event.op, event.a, event.b, event.x);
+    case observed_event::kind::attempt_ended:
+        return to.attempt_ended(event.op, event.a, event.b);
+    case observed_event::kind::effect_executed:
+        return to.effect_executed(event.op, event.a, event.b);
+    case observed_event::kind::server_overloaded:
+        return to.server_overloaded(event.a);
+    case observed_event::kind::server_process_died:
+        return to.server_process_died(event.a);
+    case observed_event::kind::endpoint_state_notified:
+        return to.endpoint_state_notified(event.a, event.b, static_cast<endpoint_state>(event.small));
+    case observed_event::kind::proxy_restarted:
+        return to.proxy_restarted(event.a, event.flag != 0);
+    case observed_event::kind::proxy_paused:
+        return to.proxy_paused(event.a, event.flag != 0);
+    case observed_event::kind::link_fault_changed:
+        return to.link_fault_changed(static_cast<link_kind>(event.small), event.a, event.b, event.flag != 0);
     }
 }
 
@@ -46,50 +46,51 @@
     to_(what);
 }
 
-void event_recorder::asked(operation op, index attempt, index proxy, index use_case, double end) {
-    note({observed_event::kind::asked, 0, 0, attempt, proxy, use_case, op, end});
+void event_recorder::request_sent(operation op, index attempt, index proxy, index use_case, double end) {
+    note({observed_event::kind::request_sent, 0, 0, attempt, proxy, use_case, op, end});
 }
-void event_recorder::answered(operation op, index attempt, reply how, bool body_fits) {
-    note({observed_event::kind::answered, static_cast<std::uint8_t>(how), body_fits, attempt, 0, 0, op});
+void event_recorder::response_received(operation op, index attempt, reply how, bool body_fits) {
+    note({observed_event::kind::response_received, static_cast<std::uint8_t>(how), body_fits, attempt, 0, 0,
+          op});
 }
-void event_recorder::unanswered(operation op, index attempt) {
-    note({observed_event::kind::unanswered, 0, 0, attempt, 0, 0, op});
+void event_recorder::response_missing(operation op, index attempt) {
+    note({observed_event::kind::response_missing, 0, 0, attempt, 0, 0, op});
 }
-void event_recorder::settled(operation op) {
-    note({observed_event::kind::settled, 0, 0, 0, 0, 0, op});
+void event_recorder::operation_finished(operation op) {
+    note({observed_event::kind::operation_finished, 0, 0, 0, 0, 0, op});
 }
-void event_recorder::untaken(operation op, index attempt) {
-    note({observed_event::kind::untaken, 0, 0, attempt, 0, 0, op});
+void event_recorder::request_not_accepted(operation op, index attempt) {
+    note({observed_event::kind::request_not_accepted, 0, 0, attempt, 0, 0, op});
 }
-void event_recorder::meet(operation op, index attempt, index use_case) {
-    note({observed_event::kind::meet, 0, 0, attempt, use_case, 0, op});
+void event_recorder::foreign_request_seen(operation op, index attempt, index use_case) {
+    note({observed_event::kind::foreign_request_seen, 0, 0, attempt, use_case, 0, op});
 }
-void event_recorder::received(operation op, index attempt, index server, double sent) {
-    note({observed_event::kind::received, 0, 0, attempt, server, 0, op, sent});
+void event_recorder::attempt_received(operation op, index attempt, index server, double sent) {
+    note({observed_event::kind::attempt_received, 0, 0, attempt, server, 0, op, sent});
 }
-void event_recorder::over(operation op, index attempt, index server) {
-    note({observed_event::kind::over, 0, 0, attempt, server, 0, op});
+void event_recorder::attempt_ended(operation op, index attempt, index server) {
+    note({observed_event::kind::attempt_ended, 0, 0, attempt, server, 0, op});
 }
-void event_recorder::ran(operation op, index attempt, index server) {
-    note({observed_event::kind::ran, 0, 0, attempt, server, 0, op});
+void event_recorder::effect_executed(operation op, index attempt, index server) {
+    note({observed_event::kind::effect_executed, 0, 0, attempt, server, 0, op});
 }
-void event_recorder::fell(index server) {
-    note({observed_event::kind::fell, 0, 0, server});
+void event_recorder::server_overloaded(index server) {
+    note({observed_event::kind::server_overloaded, 0, 0, server});
 }
-void event_recorder::died(index server) {
-    note({observed_event::kind::died, 0, 0, server});
+void event_recorder::server_process_died(index server) {
+    note({observed_event::kind::server_process_died, 0, 0, server});
 }
-void event_recorder::told(index proxy, index server, endpoint_state as) {
-    note({observed_event::kind::told, static_cast<std::uint8_t>(as), 0, proxy, server});
+void event_recorder::endpoint_state_notified(index proxy, index server, endpoint_state as) {
+    note({observed_event::kind::endpoint_state_notified, static_cast<std::uint8_t>(as), 0, proxy, server});
 }
-void event_recorder::restarted(index proxy, bool killed) {
-    note({observed_event::kind::restarted, 0, killed, proxy});
+void event_recorder::proxy_restarted(index proxy, bool killed) {
+    note({observed_event::kind::proxy_restarted, 0, killed, proxy});
 }
-void event_recorder::paused(index proxy, bool begins) {
-    note({observed_event::kind::paused, 0, begins, proxy});
+void event_recorder::proxy_paused(index proxy, bool begins) {
+    note({observed_event::kind::proxy_paused, 0, begins, proxy});
 }
-void event_recorder::link_trouble(link_kind kind, index near, index far, bool begins) {
-    note({observed_event::kind::link_trouble, static_cast<std::uint8_t>(kind), begins, near, far});
+void event_recorder::link_fault_changed(link_kind kind, index near, index far, bool begins) {
+    note({observed_event::kind::link_fault_changed, static_cast<std::uint8_t>(kind), begins, near, far});
 }
 
 std::size_t event_merge::add_source() {
--- a/src/testbed/verification/event_merge.hpp
+++ b/src/testbed/verification/event_merge.hpp
@@ -18,23 +18,23 @@
 // whole or absent. Each kind carries the arguments of the observer's function of its name.
 struct observed_event {
     enum class kind : std::uint8_t {
-        asked,
-        answered,
-        unanswered,
-        settled,
-        untaken,
-        meet,
-        received,
-        over,
-        ran,
-        fell,
-        died,
-        told,
-        restarted,
-        paused,
-        link_trouble
+        request_sent,
+        response_received,
+        response_missing,
+        operation_finished,
+        request_not_accepted,
+        foreign_request_seen,
+        attempt_received,
+        attempt_ended,
+        effect_executed,
+        server_overloaded,
+        server_process_died,
+        endpoint_state_notified,
+        proxy_restarted,
+        proxy_paused,
+        link_fault_changed
     };
-    kind is = kind::asked;
+    kind is = kind::request_sent;
     std::uint8_t small = 0, flag = 0;
     index a = 0, b = 0, c = 0;
     operation op = 0;
@@ -43,30 +43,30 @@
 };
 
 // Calls the observer's function for an event.
-void replay_event(const observed_event &event, witness &to);
+void replay_event(const observed_event &event, observer &to);
 
 // Turns what a process observes into events and passes each on at once.
-class event_recorder : public witness {
+class event_recorder : public observer {
 public:
     // `now`: the machine's time at the moment of the call. The loop's clock stands still while it handles
     // what has arrived, and would put a response to another process's message before that message.
     event_recorder(std::function<double()> now, std::function<void(const observed_event &)> to)
         : now_(std::move(now)), to_(std::move(to)) {}
-    void asked(operation op, index attempt, index proxy, index use_case, double end) override;
-    void answered(operation op, index attempt, reply how, bool body_fits) override;
-    void unanswered(operation op, index attempt) override;
-    void settled(operation op) override;
-    void untaken(operation op, index attempt) override;
-    void meet(operation op, index attempt, index use_case) override;
-    void received(operation op, index attempt, index server, double sent) override;
-    void over(operation op, index attempt, index server) override;
-    void ran(operation op, index attempt, index server) override;
-    void fell(index server) override;
-    void died(index server) override;
-    void told(index proxy, index server, endpoint_state as) override;
-    void restarted(index proxy, bool killed) override;
-    void paused(index proxy, bool begins) override;
-    void link_trouble(link_kind kind, index near, index far, bool begins) override;
+    void request_sent(operation op, index attempt, index proxy, index use_case, double end) override;
+    void response_received(operation op, index attempt, reply how, bool body_fits) override;
+    void response_missing(operation op, index attempt) override;
+    void operation_finished(operation op) override;
+    void request_not_accepted(operation op, index attempt) override;
+    void foreign_request_seen(operation op, index attempt, index use_case) override;
+    void attempt_received(operation op, index attempt, index server, double sent) override;
+    void attempt_ended(operation op, index attempt, index server) override;
+    void effect_executed(operation op, index attempt, index server) override;
+    void server_overloaded(index server) override;
+    void server_process_died(index server) override;
+    void endpoint_state_notified(index proxy, index server, endpoint_state as) override;
+    void proxy_restarted(index proxy, bool killed) override;
+    void proxy_paused(index proxy, bool begins) override;
+    void link_fault_changed(link_kind kind, index near, index far, bool begins) override;
 
 private:
     void note(observed_event what);
@@ -78,7 +78,7 @@
 class event_merge {
 public:
     // `clock` is the rule checker's own, and is moved to the time of each event.
-    event_merge(timeline &clock, witness &checker) : clock_(clock), checker_(checker) {}
+    event_merge(timeline &clock, observer &checker) : clock_(clock), checker_(checker) {}
 
     std::size_t add_source();
     void add(std::size_t source, const observed_event &event); // advances the source to its time
@@ -90,7 +90,7 @@
 
 private:
     timeline &clock_;
-    witness &checker_;
+    observer &checker_;
     std::vector<double> source_times_; // by source: up to when it is known, s
     // By time, then source, then arrival: the order of equal times does not depend on how they got here.
     std::map<std::tuple<double, std::size_t, std::uint64_t>, observed_event> events_;
--- a/src/testbed/verification/fleet_metrics.cpp
+++ b/src/testbed/verification/fleet_metrics.cpp
@@ -31,7 +31,7 @@
     };
     for (const auto &each : given.faults)
         name(each.proxies);
-    for (const auto &each : given.links)
+    for (const auto &each : given.link_faults)
         if (each.kind == link_fault_kind::partition)
             name(each.proxies);
     const auto count = std::count(faulted.begin(), faulted.end(), true);
--- a/src/testbed/verification/rule_checker.cpp
+++ b/src/testbed/verification/rule_checker.cpp
@@ -73,7 +73,7 @@
                << step_names[static_cast<std::size_t>(is)] << ' ' << who << '\n';
 }
 
-void rule_checker::asked(operation op, index attempt, index proxy, index use_case, double end) {
+void rule_checker::request_sent(operation op, index attempt, index proxy, index use_case, double end) {
     drop_old_records();
     auto &of = records_[op];
     of.use_case = use_case;
@@ -81,7 +81,7 @@
     record_step(of, op, step_kind::asked, attempt, proxy);
 }
 
-void rule_checker::answered(operation op, index attempt, reply how, bool body_fits) {
+void rule_checker::response_received(operation op, index attempt, reply how, bool body_fits) {
     record *const of = find(op);
     open_attempt *const one = of != nullptr ? find(*of, attempt) : nullptr;
     if (one == nullptr)
@@ -100,11 +100,11 @@
     if (how == reply::completed && !body_fits)
         record_violation(rule::wrong_body, op, "the answer was made for another query");
     if (how == reply::rejected && of->effects > 0 &&
-        experiment_.use_cases[of->use_case].decides.effect == effect_kind::non_idempotent)
+        experiment_.use_cases[of->use_case].routing.effect == effect_kind::non_idempotent)
         record_violation(rule::ran_twice, op, "rejected, so that its client may ask again, after it ran");
 }
 
-void rule_checker::unanswered(operation op, index attempt) {
+void rule_checker::response_missing(operation op, index attempt) {
     record *const of = find(op);
     open_attempt *const one = of != nullptr ? find(*of, attempt) : nullptr;
     if (one == nullptr || one->answered)
@@ -124,20 +124,20 @@
         record_violation(rule::lost, op, "no answer before the client's end");
 }
 
-void rule_checker::settled(operation op) {
+void rule_checker::operation_finished(operation op) {
     if (record *const of = find(op)) {
         of->settled = true;
         settled_.emplace_back(clock_.now(), op);
     }
 }
 
-void rule_checker::untaken(operation op, index attempt) {
+void rule_checker::request_not_accepted(operation op, index attempt) {
     if (record *const of = find(op))
         if (open_attempt *const one = find(*of, attempt))
             one->untaken = true;
 }
 
-void rule_checker::meet(operation op, index attempt, index use_case) {
+void rule_checker::foreign_request_seen(operation op, index attempt, index use_case) {
     record *const known = find(op);
     if (!allow_unknown_requests || (known != nullptr && find(*known, attempt) != nullptr))
         return;
@@ -149,7 +149,7 @@
         settled_.emplace_back(clock_.now(), op);
 }
 
-void rule_checker::received(operation op, index attempt, index server, double sent) {
+void rule_checker::attempt_received(operation op, index attempt, index server, double sent) {
     ++executions_;
     if (on_received)
         on_received(server);
@@ -200,7 +200,7 @@
     check_overlaps(std::numeric_limits<double>::infinity());
 }
 
-void rule_checker::over(operation op, index attempt, index server) {
+void rule_checker::attempt_ended(operation op, index attempt, index server) {
     record *const of = find(op);
     if (of == nullptr)
         return;
@@ -213,14 +213,14 @@
     record_step(*of, op, step_kind::over, attempt, server);
 }
 
-void rule_checker::ran(operation op, index attempt, index server) {
+void rule_checker::effect_executed(operation op, index attempt, index server) {
     ++effects_;
     record *const of = find(op);
     if (of == nullptr)
         return;
     record_step(*of, op, step_kind::ran, attempt, server);
     ++of->effects;
-    const auto &use = experiment_.use_cases[of->use_case].decides;
+    const auto &use = experiment_.use_cases[of->use_case].routing;
     const auto now = std::find_if(of->runs.begin(), of->runs.end(), [&](const received_attempt &each) {
         return each.attempt == attempt && each.server == server && !each.ran;
     });
@@ -233,15 +233,15 @@
         return record_violation(rule::ran_twice, op, "a non-idempotent operation ran again");
     for (const auto &each : of->runs)
         if (each.ran && &each != &*now && !each.held && !now->held &&
-            (group_of(experiment_, of->use_case, each.server) !=
-                 group_of(experiment_, of->use_case, server) ||
+            (deduplication_group_of(experiment_, of->use_case, each.server) !=
+                 deduplication_group_of(experiment_, of->use_case, server) ||
              std::abs(each.received - now->received) >= use.deduplication_window))
             return record_violation(rule::ran_twice, op,
                                     "a deduplicated operation was sent where, or when, no server knew of it");
     ++late_effects_;
 }
 
-void rule_checker::fell(index server) {
+void rule_checker::server_overloaded(index server) {
     ++broken_[static_cast<std::size_t>(rule::cold)];
     std::ostringstream text;
     text << std::fixed << std::setprecision(3) << clock_.now() << " s: rule cold: server " << server
@@ -250,21 +250,21 @@
         histories_.push_back(text.str());
 }
 
-void rule_checker::died(index server) {
+void rule_checker::server_process_died(index server) {
     for (auto &[op, of] : records_)
         for (auto &one : of.tries)
             if (one.out > 0 && one.out_at == server)
                 one.out = 0;
 }
 
-void rule_checker::told(index proxy, index server, endpoint_state as) {
+void rule_checker::endpoint_state_notified(index proxy, index server, endpoint_state as) {
     auto &known = grown_at(grown_at(announced_states_, proxy), server);
     if (known.as == endpoint_state::ready || as == endpoint_state::ready) // the first word of an end counts
         known = {as, clock_.now()};
     known.as = as;
 }
 
-void rule_checker::restarted(index proxy, bool killed) {
+void rule_checker::proxy_restarted(index proxy, bool killed) {
     for (auto &each : grown_at(announced_states_, proxy)) // the next process has heard of nothing
         each = {};
     for (auto &[op, of] : records_)
@@ -272,7 +272,7 @@
             one.excused = one.excused || (killed && one.proxy == proxy);
 }
 
-void rule_checker::paused(index proxy, bool begins) {
+void rule_checker::proxy_paused(index proxy, bool begins) {
     auto &held = grown_at(paused_, proxy);
     if (begins && held == 0)
         grown_at(paused_since_, proxy) = clock_.now();
@@ -280,7 +280,7 @@
     grown_at(paused_until_, proxy) = clock_.now();
 }
 
-void rule_checker::link_trouble(link_kind kind, index near, index far, bool begins) {
+void rule_checker::link_fault_changed(link_kind kind, index near, index far, bool begins) {
     auto &of = links_[{kind, near, far}];
     if (begins && !of.now)
         of.since = clock_.now();
--- a/tests/testbed/many_test.cpp
+++ b/tests/testbed/many_test.cpp
@@ -8,6 +8,7 @@
 
 #include "testbed/links/datagram_relay.hpp"
 #include "testbed/links/relay.hpp"
+#include "testbed/model/experiment_reader.hpp"
 #include "testbed/processes/fleet_ports.hpp"
 #include "testbed/runs/socket_run.hpp"
 #include "testbed/runs/virtual_run.hpp"
@@ -375,7 +376,7 @@
     const auto said = [](const std::string &rest) {
         try {
             made("[fleet]\nservers = 2\nhosts = 2\n[proxies]\ncount = 2\n" + rest);
-        } catch (const bad_experiment &bad) {
+        } catch (const experiment_error &bad) {
             return std::string(bad.what());
         }
         return std::string("taken");
@@ -430,15 +431,15 @@
                 return events.add(source, what);
             replay_event(what, judge);
         };
-        put(own, {observed_event::kind::asked, 0, 0, 0, 0, 0, 7, 10}, 1);
-        put(one, {observed_event::kind::received, 0, 0, 0, 0, 0, 7, 1.1}, 1.1);
-        put(two, {observed_event::kind::received, 0, 0, 0, 1, 0, 7, 1.3}, 1.3);
+        put(own, {observed_event::kind::request_sent, 0, 0, 0, 0, 0, 7, 10}, 1);
+        put(one, {observed_event::kind::attempt_received, 0, 0, 0, 0, 0, 7, 1.1}, 1.1);
+        put(two, {observed_event::kind::attempt_received, 0, 0, 0, 1, 0, 7, 1.3}, 1.3);
         events.advance_source(own, 5);
         events.advance_source(two, 5);
         events.deliver_ready(); // the first one may have more to say
         CHECK(judge.broken(rule::two_out) == (merges ? 0 : 1));
         CHECK(judge.executions() == (merges ? 0 : 2));
-        put(one, {observed_event::kind::over, 0, 0, 0, 0, 0, 7}, 1.2);
+        put(one, {observed_event::kind::attempt_ended, 0, 0, 0, 0, 0, 7}, 1.2);
         events.close_source(one);
         events.deliver_ready();
         CHECK(judge.executions() == 2);
@@ -460,7 +461,7 @@
         service.call(std::nullopt, 0, done);
     REQUIRE(came.size() == 2); // one is served, three wait
     CHECK(came[0].second.refused);
-    CHECK(came[0].second.come_back == 5);
+    CHECK(came[0].second.retry_after == 5);
     clock.advance(1.21, true);
     REQUIRE(came.size() == 6);
     CHECK(came[2].first == doctest::Approx(1.05));
@@ -489,8 +490,8 @@
         made("[fleet]\nservers = 4\nhosts = 2\nwarm = false\n[list]\nown_process = true\n"
              "notice = \"100ms\"\nlag = \"1ms\"\n");
     loop in;
-    stage all(in.clock, given, 1, 0.05, [&in] { return in.exact(); });
-    all.judge.allow_unknown_requests = true;
+    run_environment all(in.clock, given, 1, 0.05, [&in] { return in.exact(); });
+    all.checker.allow_unknown_requests = true;
     const std::string folder = folder_of("many-parts-");
     {
         fleet_ports ports(in, all, {}, {HARRIERPASS_TESTBED_PROGRAM, folder});
@@ -504,7 +505,7 @@
         CHECK(zero.said == "200 hit");
         CHECK(all.servers.source().fetches() == 2); // the origin is here
 
-        fault_spec stops;
+        fault_settings stops;
         stops.kind = fault_kind::host_stop;
         stops.hosts = {0};
         stops.servers = {0, 2};
@@ -516,7 +517,7 @@
         all.apply(stops, false);
         until(in, [&] { return zero.count == 3; });
 
-        fault_spec kills = stops;
+        fault_settings kills = stops;
         kills.kind = fault_kind::host_kill;
         all.apply(kills, true);
         until(in, [&] { return zero.ended; });
@@ -536,7 +537,7 @@
         list.on->send(whole);
         until(in, [&] { return list.count == 1; });
         CHECK(list.said == "200 ");
-        fault_spec service;
+        fault_settings service;
         service.kind = fault_kind::list_stop;
         all.apply(service, true);
         list.on->send(whole);
@@ -561,9 +562,9 @@
         CHECK(ports.deaths() == 0);
         all.events.close_source(all.own_events);
         all.events.deliver_ready();
-        CHECK(all.judge.executions() == 7); // nothing that was seen is lost with a process
-        CHECK(all.judge.effects() == 7);
-        CHECK(all.judge.broken() == 0);
+        CHECK(all.checker.executions() == 7); // nothing that was seen is lost with a process
+        CHECK(all.checker.effects() == 7);
+        CHECK(all.checker.broken() == 0);
     }
     std::filesystem::remove_all(folder);
 }
@@ -690,14 +691,18 @@
 at = "1s"
 servers = [2]
 )";
-    const std::vector<std::pair<plant, rule>> all = {
-        {plant::lose, rule::lost},           {plant::answer_twice, rule::answered_twice},
-        {plant::run_twice, rule::ran_twice}, {plant::two_out, rule::two_out},
-        {plant::ignore_drain, rule::drain},  {plant::push_cold, rule::cold},
-        {plant::late, rule::late},           {plant::wrong_body, rule::wrong_body}};
+    const std::vector<std::pair<injected_violation, rule>> all = {
+        {injected_violation::lose_response, rule::lost},
+        {injected_violation::answer_twice, rule::answered_twice},
+        {injected_violation::execute_twice, rule::ran_twice},
+        {injected_violation::concurrent_attempts, rule::two_out},
+        {injected_violation::ignore_drain, rule::drain},
+        {injected_violation::overload_cold, rule::cold},
+        {injected_violation::late_attempt, rule::late},
+        {injected_violation::wrong_body, rule::wrong_body}};
     const experiment given = made(day);
     for (const auto &each : all) {
-        const plant breaks = each.first;
+        const injected_violation breaks = each.first;
         const rule which = each.second;
         CAPTURE(std::string(name_of(which)));
         const auto run = on_sockets(given, "", breaks);
@@ -796,7 +801,8 @@
 for = "100ms"
 proxies = [12, 13]
 )");
-    const auto with = on_sockets(given), without = on_sockets(given, "", plant::nothing, decider::whole_list);
+    const auto with = on_sockets(given),
+               without = on_sockets(given, "", injected_violation::nothing, policy_kind::full_list);
     for (const auto &each : with.histories)
         MESSAGE(each);
     CHECK(with.broken() == 0);
