--- a/src/router/endpoint_fleet.hpp
+++ b/src/router/endpoint_fleet.hpp
@@ -33,6 +33,7 @@
 /// use are those of the last refresh().
 class endpoint_fleet {
 public:
+    /// No endpoint is known yet.
     explicit endpoint_fleet(const router_settings &settings);
     /// New settings; what was learned of the endpoints stays.
     void update_settings(const router_settings &settings);
--- a/src/router/endpoint_table.hpp
+++ b/src/router/endpoint_table.hpp
@@ -63,12 +63,12 @@
         return origin_kind_ != none && record.info.kind == origin_kind_;
     }
     [[nodiscard]] endpoint_index origin() const { return origin_; } ///< none: there is none.
-    [[nodiscard]] std::uint32_t fleet_in_flight() const {
-        return fleet_in_flight_;
-    } ///< Without the origin's.
+    /// Attempts in flight at all endpoints but the origin.
+    [[nodiscard]] std::uint32_t fleet_in_flight() const { return fleet_in_flight_; }
 
     /// The record of an index that was listed before.
     endpoint_record &operator[](endpoint_index endpoint) { return records_[endpoint]; }
+    /// The same, for reading.
     const endpoint_record &operator[](endpoint_index endpoint) const { return records_[endpoint]; }
     /// The index after the last one.
     [[nodiscard]] endpoint_index end_index() const { return records_.end_index(); }
--- a/src/router/hash_ring.hpp
+++ b/src/router/hash_ring.hpp
@@ -18,6 +18,7 @@
     endpoint_index endpoint;
     std::uint32_t virtual_node; ///< Number of the node among those of its endpoint, from 0.
 
+    /// By position; equal positions by endpoint.
     bool operator<(const ring_point &that) const {
         return position != that.position ? position < that.position : endpoint < that.endpoint;
     }
--- a/src/router/indexed_vector.hpp
+++ b/src/router/indexed_vector.hpp
@@ -15,6 +15,7 @@
 public:
     /// The element of an index that is within the size.
     decltype(auto) operator[](Index at) { return elements_[at.value()]; }
+    /// The same, for reading.
     decltype(auto) operator[](Index at) const { return elements_[at.value()]; }
 
     /// There is an element of this index.
--- a/src/router/outlier_detection.hpp
+++ b/src/router/outlier_detection.hpp
@@ -20,7 +20,9 @@
 /// Time in which an endpoint held attempts and gave no sign of life. Its owner is the endpoint record.
 class silence_tracker {
 public:
+    /// No silence, counted from time 0.
     silence_tracker() = default;
+    /// No silence, counted from now.
     explicit silence_tracker(double now) : updated_at_(now) {}
 
     /// Adds the time since the last call, in which the endpoint held so many attempts.
--- a/src/router/quota.hpp
+++ b/src/router/quota.hpp
@@ -23,6 +23,7 @@
     [[nodiscard]] bool is_over_quota(tenant_index tenant, double now);
 
 private:
+    /// The bucket of one tenant.
     struct token_bucket {
         double rate;       // tokens per second
         double tokens;     // at `updated_at`
--- a/src/router/request_queue.hpp
+++ b/src/router/request_queue.hpp
@@ -22,6 +22,7 @@
     [[nodiscard]] std::vector<request_index> next_batch() const;
 
 private:
+    /// A request that waits.
     struct entry {
         request_index request;
         double priority_weight;
--- a/src/router/request_router.hpp
+++ b/src/router/request_router.hpp
@@ -27,27 +27,41 @@
 /// relayed), and release_request once no attempt of it is open. Random draws have a fixed order.
 class request_router final : public router {
 public:
+    /// The first action is a timer. `seed` determines the random draws; `now` in seconds.
     request_router(const router_settings &settings, std::uint32_t seed, double now);
+    /// Neither copied nor moved, as its modules refer to each other.
     request_router(const request_router &) = delete;
     request_router &operator=(const request_router &) = delete;
     request_router(request_router &&) = delete;
     request_router &operator=(request_router &&) = delete;
     ~request_router() override = default;
 
+    /// Cancels attempts at endpoints that the update ejected, and dispatches queued requests.
     void on_endpoints_updated(double now, endpoint_update_kind kind,
                               std::span<const endpoint_info> entries) override;
+    /// Dispatches, queues or rejects the request.
     void on_request(double now, const request_info &info) override;
+    /// Updates the endpoint, then finishes or retries the request. An attempt that has ended is ignored.
     void on_attempt_finished(double now, request_index id, attempt_number number, outcome result, bool over,
                              bool fetched, const load_report &report) override;
+    /// The attempt no longer counts in flight, and the request no longer expires.
     void on_response_started(double now, request_index id, bool fetched) override;
+    /// The attempt counts in flight from now on.
     void on_request_body_sent(double now, request_index id, double deadline) override;
+    /// Releases the request once its attempts have ended.
     void on_client_disconnected(double now, request_index id) override;
+    /// Reinstates the endpoint, or extends its ejection.
     void on_health_check_finished(double now, endpoint_index endpoint, bool answered,
                                   const load_report &report) override;
+    /// Polls for endpoints, checks their health, expires deadlines, and sets the next timer.
     void on_timer(double now) override;
+    /// Takes over all settings; what was learned stays.
     void update_settings(double now, const router_settings &settings) override;
+    /// 0 once the request or its endpoint may no longer be used.
     [[nodiscard]] double attempt_write_deadline(request_index id) const override;
+    /// Ejected, and mass ejection does not override that.
     [[nodiscard]] bool avoids_endpoint(endpoint_index endpoint) const override;
+    /// By its health alone.
     [[nodiscard]] bool is_ejected(endpoint_index endpoint) const override;
 
 private:
--- a/src/router/request_table.hpp
+++ b/src/router/request_table.hpp
@@ -64,6 +64,7 @@
 
     /// The record of an index that was created before.
     request_record &operator[](request_index request) { return records_[request]; }
+    /// The same, for reading.
     const request_record &operator[](request_index request) const { return records_[request]; }
     /// The index after the last one.
     [[nodiscard]] request_index end_index() const { return records_.end_index(); }
@@ -78,6 +79,7 @@
     request_index request;
     std::uint32_t generation;
 
+    /// The later one.
     bool operator>(const request_timer &that) const { return at > that.at; }
 };
 
--- a/src/router/retry_policy.hpp
+++ b/src/router/retry_policy.hpp
@@ -15,6 +15,7 @@
 /// Invariant: between 0 and the burst size.
 class retry_budget {
 public:
+    /// A full budget.
     retry_budget();
     /// A request arrived.
     void earn();
--- a/src/router/router.hpp
+++ b/src/router/router.hpp
@@ -23,6 +23,7 @@
 /// actions.
 class router {
 public:
+    /// Ends without further actions.
     virtual ~router() = default;
     /// The endpoint list changed, or a poll of it failed.
     virtual void on_endpoints_updated(double now, endpoint_update_kind kind,
--- a/src/router/typed_index.hpp
+++ b/src/router/typed_index.hpp
@@ -31,8 +31,9 @@
         return *this;
     }
 
-    /// Indices of one kind are ordered by their numbers.
+    /// Equal where the numbers are.
     friend constexpr bool operator==(typed_index, typed_index) = default;
+    /// Indices of one kind are ordered by their numbers.
     friend constexpr bool operator<(typed_index left, typed_index right) {
         return left.value_ < right.value_;
     }
@@ -64,6 +65,7 @@
 
 /// Hashes an index as its number.
 template <typename Tag> struct std::hash<harrierpass::typed_index<Tag>> {
+    /// Equal indices have equal hashes.
     std::size_t operator()(harrierpass::typed_index<Tag> of) const noexcept {
         return std::hash<harrierpass::index>{}(of.value());
     }
--- a/src/simulator_adapter/adapter.cpp
+++ b/src/simulator_adapter/adapter.cpp
@@ -91,7 +91,7 @@
     switch (kind) {
     case message_kind::endpoints_updated:
         return update_endpoints(target, line);
-    case message_kind::request_arrived:
+    case message_kind::request_received:
         return receive_request(target, line);
     case message_kind::attempt_finished:
         return finish_attempt(target, line);
@@ -157,7 +157,7 @@
 }
 
 void adapter::receive_request(instance &target, line_parser &line) {
-    request_arrived_message message = parse_request_arrived(line);
+    request_received_message message = parse_request_received(line);
     if (message.request.class_id.value() >= target.class_count)
         throw parse_error{"unknown class"};
     if (target.request_ids.find(message.request_id) != none)
--- a/src/simulator_adapter/id_table.hpp
+++ b/src/simulator_adapter/id_table.hpp
@@ -48,6 +48,7 @@
     // Lets find() look a text up without a copy.
     struct text_hash {
         using is_transparent = void;
+        // Equal for texts of any type.
         std::size_t operator()(std::string_view text) const { return std::hash<std::string_view>{}(text); }
     };
 
--- a/src/simulator_adapter/line_parser.hpp
+++ b/src/simulator_adapter/line_parser.hpp
@@ -14,6 +14,7 @@
 // malformed. Does not own the line's text.
 class line_parser {
 public:
+    // Begins at the left end of the line.
     explicit line_parser(std::string_view line) : remaining_(line) {}
 
     // The next value as text; it is not empty.
--- a/src/simulator_adapter/wire_messages.cpp
+++ b/src/simulator_adapter/wire_messages.cpp
@@ -27,7 +27,7 @@
      {"BOOT", message_kind::start_instance},
      {"INBOX", message_kind::peer_messages},
      {"MEMBERSHIP", message_kind::endpoints_updated},
-     {"ARRIVAL", message_kind::request_arrived},
+     {"ARRIVAL", message_kind::request_received},
      {"ATTEMPT_END", message_kind::attempt_finished},
      {"STARTED", message_kind::response_started},
      {"ABORTED", message_kind::client_disconnected},
@@ -183,8 +183,8 @@
     return message;
 }
 
-request_arrived_message parse_request_arrived(line_parser &line) {
-    request_arrived_message message;
+request_received_message parse_request_received(line_parser &line) {
+    request_received_message message;
     message.request_id = line.word();
     request_info &request = message.request;
     const auto flags = line.optional_number<std::uint64_t>("the bits are no number").value_or(0);
--- a/src/simulator_adapter/wire_messages.hpp
+++ b/src/simulator_adapter/wire_messages.hpp
@@ -20,7 +20,7 @@
     start_instance,        // BOOT
     peer_messages,         // INBOX: proxies send each other nothing
     endpoints_updated,     // MEMBERSHIP
-    request_arrived,       // ARRIVAL
+    request_received,      // ARRIVAL
     attempt_finished,      // ATTEMPT_END
     response_started,      // STARTED
     client_disconnected,   // ABORTED
@@ -84,13 +84,13 @@
 endpoints_updated_message parse_endpoints_updated(line_parser &line);
 
 // A client sent a request.
-struct request_arrived_message {
+struct request_received_message {
     std::string request_id;
     request_info request; // without its index
 };
 
 // Takes the message off the rest of its line.
-request_arrived_message parse_request_arrived(line_parser &line);
+request_received_message parse_request_received(line_parser &line);
 
 // An attempt finished.
 struct attempt_finished_message {
--- a/src/subsets/endpoint_selection.hpp
+++ b/src/subsets/endpoint_selection.hpp
@@ -21,8 +21,10 @@
 // Whether a selection may leave endpoints out that are no longer wanted.
 enum class selection_mode : std::uint8_t { widen_only, may_narrow };
 
+// The subset of one proxy.
 class endpoint_selection {
 public:
+    // No endpoint is known yet.
     explicit endpoint_selection(const router_settings &settings);
 
     // Other settings hold from now on; the whole list is to follow.
@@ -63,6 +65,7 @@
     subset_view view() const;
 
 private:
+    // An endpoint that is listed, or was.
     struct endpoint_record {
         std::string id;
         endpoint_info info;             // as last listed, but for the id, which is in `id`
--- a/src/subsets/traffic_estimator.cpp
+++ b/src/subsets/traffic_estimator.cpp
@@ -59,7 +59,7 @@
     if (!completed)
         return;
     fetch_share_.add(fetched ? 1 : 0);
-    const bool is_late = now - record.arrived_at > record.latency_objective;
+    const bool is_late = now - record.received_at > record.latency_objective;
     (fetched ? fetch_loss_ : hit_loss_).add(is_late ? record.late_loss : 0);
 }
 
--- a/src/subsets/traffic_estimator.hpp
+++ b/src/subsets/traffic_estimator.hpp
@@ -10,6 +10,7 @@
 
 namespace harrierpass::subsets {
 
+// The traffic of one proxy: rates by decaying sums, shares by means of the latest responses.
 class traffic_estimator {
 public:
     // A new request; its index may have been that of one released before.
@@ -46,8 +47,9 @@
         // `prior`: how many zeros the values are averaged with.
         double value(double prior) const { return weight > 0 ? sum / (weight + prior) : 0; }
     };
+    // A request that was not released yet.
     struct request_record {
-        double arrived_at = 0;                 // s
+        double received_at = 0;                // s
         double latency_objective = 1;          // s
         double late_loss = 0;                  // share of the value lost by a late response
         std::vector<endpoint_index> endpoints; // by attempt; `none` once it has finished
