--- a/src/base/counters.hpp
+++ b/src/base/counters.hpp
@@ -63,6 +63,7 @@
     void print(std::ostream &to) const;
 
 private:
+    // The number of a counter.
     std::atomic<std::uint64_t> &at(counter which) { return values_[static_cast<std::size_t>(which)]; }
     std::array<std::atomic<std::uint64_t>, static_cast<std::size_t>(counter::total)> values_{};
 };
--- a/src/proxy/client/client_connection.hpp
+++ b/src/proxy/client/client_connection.hpp
@@ -17,6 +17,7 @@
     std::size_t max_bytes = 0; // bytes; 0: it closes at once
 };
 
+// The connection and what is carried over from one of its requests to the next.
 struct client_connection {
     tcp_socket socket; // empty: the client has left
     // Between requests it is held only while it contains the first bytes of the next one.
--- a/src/proxy/client/listener.cpp
+++ b/src/proxy/client/listener.cpp
@@ -53,8 +53,7 @@
     socket_.close();
 }
 
-// Wakes the connections' threads when a drain begins, so that each waits for the time of closing, and when
-// that time has come.
+// When a stop begins, each thread has to wait for the time of closing instead.
 void listener::notify_of_stop() {
     const bool draining = context_.draining(), closing = context_.closes_idle();
     if ((draining && !notified_of_drain_) || (closing && !notified_of_close_))
@@ -158,7 +157,6 @@
     remove_entry(entry);
 }
 
-// Until the connection is to close; returns the reason.
 close_reason listener::serve_requests(connection_entry &entry, client_connection &connection) {
     try {
         for (;;) {
@@ -178,7 +176,6 @@
     }
 }
 
-// Waits without a buffer until bytes come (empty) or the connection is to close.
 std::optional<close_reason> listener::await_request(connection_entry &entry, client_connection &connection) {
     set_idle(entry, true);
     entry.has_sent_request = connection.requests > 0;
@@ -213,7 +210,6 @@
     return reason;
 }
 
-// Empty: the connection stays.
 std::optional<close_reason> listener::idle_close_reason(const connection_entry &entry,
                                                         const client_connection &connection,
                                                         double idle_for) {
@@ -236,8 +232,8 @@
     entry.idle_since = context_.routing.now();
 }
 
-// Tells one idle connection to close: first those that never sent a request, as they may be silent for ever,
-// then the one that has been idle the longest. False: there is none.
+// First those that never sent a request, as they may be silent for ever, then the one that has been idle the
+// longest.
 bool listener::close_one_idle() {
     const double now = context_.routing.now();
     const auto rank = [](const connection_entry &entry) {
--- a/src/proxy/client/listener.hpp
+++ b/src/proxy/client/listener.hpp
@@ -17,6 +17,7 @@
 
 namespace harrierpass::proxy {
 
+// One listening socket and the connections that came from it. run() is the accepting thread.
 class listener {
 public:
     // At `max_connections` further connections have their requests rejected, and somewhat above it they are
@@ -57,19 +58,32 @@
     };
 
     bool accept_one(); // false: none is waiting, or none can be accepted now
+    // Accepts until none is waiting, or none can be accepted now.
     void accept_all();
     bool on_accept_failed(int error); // true: another may be accepted at once
+    // Adds an entry, and sets whether the connection is beyond the maximum. Throws std::bad_alloc.
     connection_entry &add_entry(client_connection &connection);
+    // Removes the entry of a connection that has ended.
     void remove_entry(const connection_entry &entry);
+    // Answers and closes a connection for which there was no thread or no memory. `entry`: null where there
+    // was no memory for one.
     void reject_without_thread(tcp_socket &client, const connection_entry *entry, const address &peer);
+    // Wakes the connections' threads as a stop begins, and as idle connections are to close.
     void notify_of_stop();
+    // Wakes the threads of all connections.
     void wake_all();
+    // The thread of a connection: serves its requests, closes and logs it, and removes its entry.
     void serve(connection_entry &entry, client_connection connection, const std::string &peer);
+    // Serves requests until the connection is to close.
     close_reason serve_requests(connection_entry &entry, client_connection &connection);
+    // Waits, without a buffer, for the first bytes of a request; why the connection is to close instead.
     std::optional<close_reason> await_request(connection_entry &entry, client_connection &connection);
+    // Why a connection that has been idle for so many s is to close; empty: it stays.
     std::optional<close_reason> idle_close_reason(const connection_entry &entry,
                                                   const client_connection &connection, double idle_for);
+    // Records when the connection became idle or busy.
     void set_idle(connection_entry &entry, bool idle);
+    // Tells one idle connection to close; false: there is none.
     bool close_one_idle();
     bool exceeds(double share); // more connections are open than this share of the maximum
 
--- a/src/proxy/client/request_reader.cpp
+++ b/src/proxy/client/request_reader.cpp
@@ -84,7 +84,6 @@
     write_all(client_.socket, "HTTP/1.1 100 Continue\r\n\r\n", {}, response_write_limit);
 }
 
-// False: the time for the next bytes is over.
 bool request_reader::wait_for_bytes() const {
     const double time_left = deadline_ - context_.routing.now();
     if (time_left <= 0)
--- a/src/proxy/discovery/discovery_client.cpp
+++ b/src/proxy/discovery/discovery_client.cpp
@@ -314,7 +314,6 @@
         upstream_.close_idle_of(slot, dispatcher_.now(), upstream_close_reason::endpoint_removed);
 }
 
-// The list's entries as the router is to see them. The caller holds registry_lock_.
 std::vector<endpoint_info> discovery_client::apply_to_registry(const endpoint_list &list) {
     std::vector<endpoint_info> entries;
     for (const auto &each : list.items) {
@@ -339,8 +338,7 @@
     return entries;
 }
 
-// Tells the router of a changed override. The update is `local`, as it is no answer to a poll. The caller
-// holds registry_lock_.
+// The update is `local`, as it is no answer to a poll.
 void discovery_client::republish(const std::string &id) {
     const auto found = registry_.listed().find(id);
     if (found == registry_.listed().end())
--- a/src/proxy/discovery/discovery_client.hpp
+++ b/src/proxy/discovery/discovery_client.hpp
@@ -29,6 +29,7 @@
 
 namespace harrierpass::proxy {
 
+// One for each proxy. Owns the poll schedule, the registry and the overrides.
 class discovery_client {
 public:
     // All four must outlive it. Throws parse_error where the service's address cannot be used.
@@ -86,23 +87,41 @@
         double retry_after = 0; // s; 0: not stated
     };
 
+    // Starts the poll schedule from the list that is there.
     void start_schedule();
+    // Turns to the configuration that reconfigure() left, and to its service.
     void use_pending_configuration();
+    // Makes the poll that is due and carries out its result; `interrupted` ends the wait.
     void poll_once(const std::function<bool()> &interrupted);
+    // Sends a poll over the kept connection or a new one, within `timeout` s. Throws parse_error where the
+    // response is no JSON.
     poll_response send_poll(const std::string &target, double timeout,
                             const std::function<bool()> &interrupted);
     bool handle_response(const poll_response &response); // false: it failed
+    // Reports a failed poll to schedule and router.
     void on_poll_failed(const discovery::endpoint_poll &failed);
     bool on_list(const endpoint_list &list); // false: implausible
+    // Sets a list aside; the drains in it may be obeyed.
     void on_implausible_list(const endpoint_list &list);
+    // What the plausibility of a list is assessed by.
     discovery::snapshot_facts facts_of(const endpoint_list &list);
+    // Puts a list into force: in the registry, the connection pool and the router.
     void publish(const endpoint_list &list, endpoint_update_kind kind);
+    // Applies a list to the registry and the pool; returns its entries with slots and overrides. The caller
+    // holds registry_lock_.
     std::vector<endpoint_info> apply_to_registry(const endpoint_list &list);
+    // Sends the entry of a listed endpoint to the router again, by the present overrides. The caller holds
+    // registry_lock_.
     void republish(const std::string &id);
+    // Writes the snapshot file if the list has changed: at most once a second, or at once at the end.
     void save_snapshot(bool at_end);
+    // The list in force, as a snapshot.
     endpoint_list current_list();
+    // Whether polls go to a list service shared by all proxies, and not to an agent.
     bool is_shared_service() const;
+    // Logs the schedule's state if it is not the one before.
     void log_state_change(discovery::poll_state before);
+    // Closes the kept connection, if there is one; `reason` is for the log.
     void close_connection(const char *reason);
 
     dispatcher &dispatcher_;
--- a/src/proxy/discovery/endpoint_registry.hpp
+++ b/src/proxy/discovery/endpoint_registry.hpp
@@ -27,6 +27,7 @@
 
 namespace harrierpass::proxy {
 
+// Owned by the discovery client, which calls it under its registry lock.
 class endpoint_registry {
 public:
     // An endpoint of the list in force, which is ready or draining.
@@ -48,13 +49,16 @@
 
     // Lists an endpoint (`info` with its slot), or replaces its entry.
     void set_listed(const std::string &id, const endpoint_info &info, const std::string &host_port);
+    // The endpoint is in the list no more; its slot stays until retire_missing().
     void remove_listed(const std::string &id) { listed_.erase(id); }
+    // As remove_listed(), of all endpoints.
     void clear_listed() { listed_.clear(); }
 
     // Retires the slots of endpoints that a list removes: by name, or, if it is a snapshot, by not naming
     // them. Returns the slots that it retired.
     std::vector<endpoint_index> retire_missing(const endpoint_list &list, bool is_snapshot);
 
+    // The endpoints of the list in force.
     [[nodiscard]] const listed_endpoints &listed() const { return listed_; }
 
     // Slots that were ever held at a time.
--- a/src/proxy/request/active_request.hpp
+++ b/src/proxy/request/active_request.hpp
@@ -13,7 +13,9 @@
 
 namespace harrierpass::proxy {
 
+// One request from its first byte to its response.
 struct active_request {
+    // Both have to outlive it.
     active_request(proxy_context &shared_context, client_connection &from);
 
     // When the planned stop needs the response; `never` without a stop.
@@ -22,8 +24,10 @@
     double client_deadline() const;
     // s; the longest wait that the protocol lets a rejection advise.
     double max_retry_after() const { return settings->router.constraints.max_retry_after; }
+    // The settings of its class; valid once `settings` and `class_id` are set.
     const request_class &class_settings() const { return settings->router.request_classes[class_id.value()]; }
 
+    // Whether on_client_left() was called.
     bool client_has_left() const { return !client.socket; }
     // The client has closed its connection: no response is owed to it, and nothing more is sent for it.
     void on_client_left();
@@ -37,6 +41,7 @@
     // Counts the request as active, once. One with a streamed body counts when its body has been forwarded,
     // or when it ends before.
     void count_as_active();
+    // Counts the result, once; the request is active no more.
     void count_result(request_result result);
 
     // The router is owed nothing more: what is queued or in flight for the request ends. Without effect once
--- a/src/proxy/request/active_request_ids.hpp
+++ b/src/proxy/request/active_request_ids.hpp
@@ -11,6 +11,7 @@
 
 namespace harrierpass::proxy {
 
+// A set of ids, each held by one lease at most.
 class active_request_ids {
 public:
     // Holds an id for as long as it lives, and must not outlive the set. Empty: it holds none.
@@ -19,18 +20,23 @@
         id_lease() = default;
         id_lease(const id_lease &) = delete;
         id_lease &operator=(const id_lease &) = delete;
+        // For acquire(): the id is in the set already.
         id_lease(active_request_ids &ids, std::string id) : ids_(&ids), id_(std::move(id)) {}
+        // A lease that was moved from holds none.
         id_lease(id_lease &&that) noexcept
             : ids_(std::exchange(that.ids_, nullptr)), id_(std::move(that.id_)) {}
+        // Exchanges the leases: `that` releases the one that was held here.
         id_lease &operator=(id_lease &&that) noexcept {
             std::swap(ids_, that.ids_);
             std::swap(id_, that.id_);
             return *this;
         }
+        // Releases the id.
         ~id_lease() {
             if (ids_ != nullptr)
                 ids_->release(id_);
         }
+        // Whether an id is held.
         explicit operator bool() const { return ids_ != nullptr; }
 
     private:
@@ -50,6 +56,7 @@
     }
 
 private:
+    // The end of a lease.
     void release(const std::string &id) {
         const std::lock_guard hold(lock_);
         open_.erase(id);
--- a/src/proxy/request/dispatcher.cpp
+++ b/src/proxy/request/dispatcher.cpp
@@ -28,8 +28,7 @@
     return unix_start_ + (steady_now() - steady_start_);
 }
 
-// Reports every event to the router. The clock is read under the lock, so that the router's time never goes
-// back, and its actions are delivered before the next event.
+// The clock is read under the lock, so that the router's time never goes back.
 template <typename Event> void dispatcher::report_event(Event event) {
     std::vector<endpoint_index> health_checks;
     bool watch_requested = false;
--- a/src/proxy/request/dispatcher.hpp
+++ b/src/proxy/request/dispatcher.hpp
@@ -16,6 +16,7 @@
 
 // What the router wants of a request now.
 struct routing_decision {
+    // What the request's thread is to do; the last two are final.
     enum class kind : std::uint8_t { queued, start_attempt, attempt_running, reject, fail };
     kind kind_of = kind::queued;
     endpoint_index endpoint = none; // start_attempt, attempt_running
@@ -42,6 +43,7 @@
 // Every member may be called from any thread, except where it says otherwise.
 class dispatcher {
 public:
+    // Starts the clock and makes the router by these settings.
     dispatcher(std::shared_ptr<const configuration> settings,
                router_factory make_router = subsets::make_subset_router);
 
@@ -73,6 +75,7 @@
     void response_started(request_handle &handle, bool fetched);
     // A long body has been sent; the time until the deadline starts.
     void request_body_sent(request_handle &handle, double deadline);
+    // The client left: what is queued for the request ends, an attempt in flight goes on.
     void client_disconnected(request_handle &handle);
     // Whether the router has let go of the request.
     [[nodiscard]] bool is_released(request_handle &handle);
@@ -89,8 +92,12 @@
     void run_timer(const std::function<bool()> &stopped); // the timer thread's loop, until `stopped`
 
 private:
+    // Calls event(now) under the lock and delivers the router's actions before the next event.
     template <typename Event> void report_event(Event event);
+    // Hands the router's actions to the requests and wakes their threads. What is to be done without the lock
+    // goes to the parameters. The caller holds lock_.
     void deliver_actions(std::vector<endpoint_index> &health_checks, bool &watch_requested);
+    // Makes space for the reference counts of these endpoints. The caller holds lock_.
     void reserve_references(std::span<const endpoint_info> entries);
 
     const double unix_start_;
--- a/src/proxy/request/proxy_context.hpp
+++ b/src/proxy/request/proxy_context.hpp
@@ -19,6 +19,7 @@
 
 inline constexpr double never = forever * 10; // Unix time, s
 
+// References to the parts, and the state of a planned stop.
 struct proxy_context {
     dispatcher &routing;
     upstream_pool &upstreams;
@@ -47,8 +48,11 @@
     // s since the stop began; negative: there is none.
     double time_since_stop() const { return draining() ? routing.now() - draining_at.load() : -1; }
 
+    // Whether a planned stop has begun.
     bool draining() const { return routing.now() >= draining_at.load(); }
+    // Whether clients' connections close now.
     bool is_closing() const { return routing.now() >= close_at.load(); }
+    // Whether operators send clients away.
     bool is_disabled() const { return routing.now() >= disabled_at.load(); }
     // Whether idle connections close, too. After a disabling that is once clients have stopped sending new
     // connections.
--- a/src/proxy/request/upstream_attempt.cpp
+++ b/src/proxy/request/upstream_attempt.cpp
@@ -123,7 +123,6 @@
     }
 }
 
-// Empty: the wait for the response goes on.
 std::optional<attempt_result> upstream_attempt::ended_while_waiting() {
     const routing_decision decision = context_.routing.next_decision(request_.handle);
     const bool request_ended = decision.kind_of != routing_decision::kind::attempt_running;
@@ -145,8 +144,8 @@
     return last_received_at_ + request_.response_stall_limit - context_.routing.now();
 }
 
-// Whether something of the response may be read. An attempt goes on when its client leaves, so that the
-// router's count of what is in flight at the endpoint stays right.
+// An attempt goes on when its client leaves, so that the router's count of what is in flight at the endpoint
+// stays right.
 bool upstream_attempt::wait_for_response(double time_left) {
     std::array<pollfd, 2> sockets = {
         {{connection_.socket.get(), POLLIN, 0}, {request_.client.socket.get(), POLLRDHUP, 0}}};
@@ -173,7 +172,6 @@
     }
 }
 
-// Whether the response is forwarded as it comes, instead of being held whole.
 bool upstream_attempt::is_long(http_reader::state state) const {
     const bool window_full = state == http_reader::state::window_full;
     if (!window_full && state != http_reader::state::incomplete)
--- a/src/proxy/service.cpp
+++ b/src/proxy/service.cpp
@@ -73,7 +73,6 @@
     };
 }
 
-// The listening socket of the process that serves, with its operators' state; empty: none hands it over.
 tcp_socket service::take_over(const address &listen_address) {
     const char *const directory = std::getenv("TMPDIR");
     if (configuration_.control.empty() || directory == nullptr || *directory == '\0')
@@ -224,7 +223,6 @@
     context_.disabled_at = disabled ? std::min(context_.disabled_at.load(), dispatcher_.now()) : never;
 }
 
-// What was done here is to be done by the other processes of this proxy, too. Returns `done`.
 bool service::broadcast_if(bool done, const peer_message &message) {
     if (done && hot_restart_)
         hot_restart_->broadcast(message);
--- a/src/proxy/service.hpp
+++ b/src/proxy/service.hpp
@@ -18,6 +18,7 @@
 
 namespace harrierpass::proxy {
 
+// One running proxy. Public functions are the main thread's, unless they say otherwise.
 class service {
 public:
     // Starts the proxy. Throws parse_error or std::system_error where it cannot start.
@@ -38,6 +39,7 @@
     // nothing has changed.
     void reload(const configuration &next);
 
+    // The process counters. Any thread.
     [[nodiscard]] const counters &counts() const { return counters_; }
 
     // The address that clients connect to.
@@ -49,25 +51,43 @@
     // Slots that endpoints ever held at a time.
     [[nodiscard]] std::size_t endpoint_slots() const { return discovery_.slot_count(); }
 
+    // The log that the proxy writes. Any thread.
     log &lines() { return log_; }
 
 private:
+    // Whether the threads are to end.
     bool over() const { return over_.load(); }
+    // Connects the callbacks of dispatcher and discovery client.
     void connect_components();
+    // The listening socket of the process that serves, with its operators' state; empty: none hands it over.
     tcp_socket take_over(const address &listen_address);
+    // A listening socket of its own; retries for a while. Throws std::system_error.
     tcp_socket listen(const address &listen_address);
+    // Starts all threads. `inherited`: the listening socket is another process's.
     void start_threads(bool inherited);
+    // The accepting thread. A successor accepts clients once it has a list.
     void accept_clients(bool inherited);
+    // Starts the control server, if one is configured. Throws parse_error or std::system_error.
     void start_control_server();
+    // What the requests of operators do.
     control_handlers make_control_handlers();
+    // Starts to exchange messages with other processes, if that is configured.
     void start_hot_restart();
+    // What a successor has to know: operators' overrides and what this process uses.
     std::vector<peer_message> state_for_successor();
+    // Carries out what another process of this proxy was told.
     void apply_peer_message(const peer_message &message);
+    // Asks clients to go elsewhere, or accepts them again.
     void set_disabled(bool disabled);
+    // Sends the message to the other processes if `done`, which it returns.
     bool broadcast_if(bool done, const peer_message &message);
+    // Lowers this process's limits by what others use.
     void apply_peer_usage(const shared_usage &used);
+    // What this process uses of the shared limits.
     shared_usage local_usage();
+    // The schedule of a stop that begins now.
     stop_schedule schedule();
+    // Stops by the schedule and waits for the threads. Idempotent.
     void end(const stop_schedule &stop);
 
     const configuration configuration_; // that it was started with
--- a/src/proxy/upstream/health_checker.cpp
+++ b/src/proxy/upstream/health_checker.cpp
@@ -72,7 +72,6 @@
     return exchange(std::move(connection), unsent);
 }
 
-// Writes what is unsent of the request and reads the response. The endpoint is healthy if that is a 200.
 bool health_checker::exchange(upstream_connection connection, std::string_view unsent) {
     const auto buffer = buffers_.acquire();
     http_reader response(whole_buffer(buffer), http_reader::message_kind::response);
--- a/src/proxy/upstream/health_checker.hpp
+++ b/src/proxy/upstream/health_checker.hpp
@@ -14,8 +14,10 @@
 
 namespace harrierpass::proxy {
 
+// Starts health checks from any thread, a bounded number at a time.
 class health_checker {
 public:
+    // All four have to outlive it.
     health_checker(dispatcher &routing, upstream_pool &upstreams, buffer_pool &buffers, counters &count)
         : routing_(routing), upstreams_(upstreams), buffers_(buffers), counters_(count) {}
     // Waits for the checks that are in flight.
@@ -30,8 +32,12 @@
     // What a check found; empty: it was not made, which says nothing of the endpoint.
     using check_result = std::optional<bool>;
 
+    // Makes one check, in its own thread.
     check_result check(endpoint_index endpoint);
+    // Writes what is unsent of the request and reads the response; whether the endpoint is healthy, which a
+    // 200 says.
     bool exchange(upstream_connection connection, std::string_view unsent);
+    // Reports the result to the dispatcher; the check is over.
     void report(endpoint_index endpoint, check_result is_healthy);
 
     dispatcher &routing_;
--- a/src/proxy/upstream/upstream_pool.cpp
+++ b/src/proxy/upstream/upstream_pool.cpp
@@ -140,8 +140,7 @@
     return connection;
 }
 
-// Tries once more where an idle connection could be closed to end a shortage on this machine. Without a
-// connection errno tells why.
+// Tries once more where an idle connection could be closed to end a shortage on this machine.
 tcp_socket upstream_pool::connect(const address &where, double limit, double now) {
     tcp_socket socket = dial(where, limit);
     if (!socket && is_local_shortage(errno) && close_oldest_idle(now))
--- a/src/proxy/upstream/upstream_pool.hpp
+++ b/src/proxy/upstream/upstream_pool.hpp
@@ -23,6 +23,7 @@
 
 namespace harrierpass::proxy {
 
+// A connection to an endpoint, owned by the attempt that uses it or by the pool. Times are Unix times, s.
 struct upstream_connection {
     tcp_socket socket; // empty: no connection came up
     endpoint_index endpoint = none;
@@ -33,6 +34,7 @@
     bool local_shortage = false; // without a socket: for a shortage on this machine
 };
 
+// Owns the idle connections of all endpoints and counts those in use.
 class upstream_pool {
 public:
     // Limits in seconds. `capacity`: descriptors for clients' connections and for these, in use and idle.
@@ -57,6 +59,7 @@
     // which nothing refers any more.
     void set_endpoint(endpoint_index endpoint, std::string_view id, std::string_view host_port,
                       double started_at, double now);
+    // The id of an endpoint that set_endpoint() named.
     std::string id_of(endpoint_index endpoint);
 
     // When this returns, nothing new is written to a disabled endpoint.
@@ -74,9 +77,11 @@
     // An idle connection or a new one; without a socket where none came up within `limit` seconds or the
     // connect timeout, whichever is shorter.
     upstream_connection acquire(endpoint_index endpoint, double now, double limit = forever);
+    // As acquire(), but always a new connection.
     upstream_connection connect_new(endpoint_index endpoint, double now, double limit = forever);
     // Gives a connection back for the next attempt.
     void release(upstream_connection connection, double now);
+    // Closes a connection that was acquired.
     void close_connection(upstream_connection connection, double now, upstream_close_reason reason);
 
     // Closes all that are idle at the endpoint.
@@ -87,21 +92,28 @@
     bool close_oldest_idle(double now);
 
 private:
+    // What is known of one endpoint, and its idle connections.
     struct endpoint_slot {
         std::string id;
         std::optional<address> where; // empty: the endpoint list names no usable address
         double started_at = 0;
         std::deque<upstream_connection> idle; // by last_used_at, the latest at the back
     };
+    // A connection to close once no lock is held.
     struct closing_connection {
         upstream_connection connection;
         upstream_close_reason reason;
     };
 
+    // An idle connection that can be used; closes stale ones on the way.
     std::optional<upstream_connection> take_idle(endpoint_index endpoint, double now);
+    // Connects within `limit` s; errno tells why there is no socket.
     tcp_socket connect(const address &where, double limit, double now);
+    // Counts and logs that no connection came up.
     void connect_failed(endpoint_index endpoint, const char *error);
+    // Whether an idle connection must not be used again.
     bool is_stale(const upstream_connection &connection, const endpoint_slot &slot, double now) const;
+    // Closes and logs connections; the caller holds no lock.
     void close_all(std::vector<closing_connection> &closing, double now);
 
     std::atomic<double> connect_timeout_;
