--- a/src/admin/registry.hpp
+++ b/src/admin/registry.hpp
@@ -18,12 +18,16 @@
     std::string unkept; // not empty: it was good, and the store could not keep it
 };
 
+// Thread-safe. Lock order: write_, then read_.
 class registry {
 public:
-    using clock = std::function<double()>; // Unix time, s
+    // Returns Unix time in seconds.
+    using clock = std::function<double()>;
+    // `keeps` must outlive it.
     registry(store::tenant_store &keeps, clock now)
         : store_(keeps), now_(std::move(now)), set_(keeps.at_start().set) {}
 
+    // The present version.
     tenants::set_ptr now() const {
         const std::lock_guard hold(read_);
         return set_;
@@ -40,6 +44,7 @@
     // Ends the draining tenants of which nothing is open any more.
     std::size_t purge(const std::function<bool(std::uint64_t incarnation)> &is_idle);
 
+    // The store below, for its reads; changes go through change().
     store::tenant_store &storage() { return store_; }
 
     // Told of each new version, by the writer's thread, after it is on disk.
--- a/src/hosted/admin_limits.hpp
+++ b/src/hosted/admin_limits.hpp
@@ -6,6 +6,7 @@
 
 namespace harrierpass::hosted {
 
+// Each limit holds for one connection, but for `connections`.
 struct admin_limits {
     std::size_t connections = 32;         // served at once; more wait to be accepted
     std::size_t body = 8UL * 1024 * 1024; // bytes; some 10,000 tenants
--- a/src/hosted/admin_session.hpp
+++ b/src/hosted/admin_session.hpp
@@ -28,6 +28,7 @@
     const std::atomic<bool> &stopping; // requests that have begun are still answered
 };
 
+// One connection's requests; not thread-safe.
 class admin_session {
 public:
     // `connection`: greeted, and outlives the session.
@@ -40,14 +41,20 @@
 
     // Requests that were read completely.
     std::uint64_t requests() const { return requests_; }
+    // How far the current request is, also after an exception.
     request_progress progress() const { return progress_; }
 
 private:
     // These return the reason to end the connection; null: it goes on.
+    // Reads one request and answers it.
     const char *serve_request();
+    // Reads until the request is complete.
     const char *read_request();
+    // Whether the listener stops, or the time is over.
     const char *check_time();
+    // Reads once from the connection, or waits for it to be readable.
     const char *receive(http_reader::state &state);
+    // Writes the API's answer.
     const char *respond(const admin::api_answer &answer);
 
     // Answers what is no usable request. Returns `reason`, for the connection ends.
@@ -58,8 +65,11 @@
     bool can_continue(http_reader::state state) const;
     // Reads the same bytes again, with space for the largest body.
     http_reader::state enlarge_buffer();
+    // The request as the API takes it.
     admin::api_request parsed_request() const;
+    // Logs a request that may have changed something.
     void log_write(const admin::api_request &request, const admin::api_answer &answer) const;
+    // False: the caller has not taken all of it.
     bool write(const admin::api_answer &answer, bool keeps_alive);
 
     const session_context &context_;
--- a/src/hosted/event_counters.hpp
+++ b/src/hosted/event_counters.hpp
@@ -9,6 +9,7 @@
 
 namespace harrierpass::hosted {
 
+// Counters that come to be with their first event.
 class event_counters {
 public:
     // Counts one event. Throws std::bad_alloc.
--- a/src/hosted/tls.hpp
+++ b/src/hosted/tls.hpp
@@ -24,53 +24,67 @@
     using std::runtime_error::runtime_error;
 };
 
+// The files of an identity.
 struct identity_files {
     std::string certificate, key; // PEM; the certificate with its chain
     std::string callers;          // PEM of the authority of callers' certificates; empty: none are asked for
 };
 
 // What a listener shows. A new one holds for connections from then on; those that are open keep theirs.
+// Thread-safe.
 class identity {
 public:
+    // Throws invalid_identity.
     explicit identity(identity_files from) : files_(std::move(from)), now_(load(files_)) {}
     // Reads the files again. Throws invalid_identity, also for a certificate that is out of its time or does
     // not fit its key, and then the one before goes on.
     void reload();
+    // What new connections are to show.
     std::shared_ptr<ssl_ctx_st> now() const;
 
 private:
+    // Throws invalid_identity.
     static std::shared_ptr<ssl_ctx_st> load(const identity_files &from);
     const identity_files files_;
-    mutable std::mutex lock_;
+    mutable std::mutex lock_; // guards now_
     std::shared_ptr<ssl_ctx_st> now_;
 };
 
-// One connection, with TLS or, for loopback and tests, without.
+// One connection, with TLS or, for loopback and tests, without. Belongs to one thread, which threads.hpp
+// started. Limits are seconds.
 class stream {
 public:
-    stream(tcp_socket socket, std::shared_ptr<ssl_ctx_st> as); // `as` may be empty: plain
+    // `as` may be empty: plain.
+    stream(tcp_socket socket, std::shared_ptr<ssl_ctx_st> as);
     ~stream();
     stream(const stream &) = delete;
     stream &operator=(const stream &) = delete;
 
-    bool handshake(double limit); // the handshake; false: it failed, and error() says how
+    // The TLS handshake. False: it failed, and error() says how.
+    bool handshake(double limit);
     // As net's: bytes; 0: the other side ended; -1: broken; -2: nothing there now.
     long read(char *to, std::size_t size);
+    // Writes all of the text. False: the caller has not taken it in time, or is gone.
     bool write(std::string_view text, double limit);
-    bool wait(double limit); // for bytes, or an end; false: none in time, or this thread was called
+    // Waits for bytes, or an end. False: none in time, or wake_thread() named this thread.
+    bool wait(double limit);
     // Writes a constant response, for a connection that a failure of the service itself ends. Does not use
     // the C++ heap. False: the caller has not taken all of it.
     bool write_fallback(proxy::fallback_response which, double limit);
-    void finish(); // says that nothing more comes
+    // Tells the caller that nothing more comes.
+    void finish();
     // finish(), then drops what the caller still sends, for at most `limit` s, so that the connection's end
     // does not destroy a response on its way, and closes.
     void close_gracefully(double limit);
+    // The cause of the last failure of TLS.
     const std::string &error() const { return error_; }
     // The common name of a caller's certificate that its authority stands for; empty: there is none.
     std::string caller() const;
 
 private:
-    bool blocked(int got, double until); // waits for what TLS wants next; false: it is over
+    // Waits for what TLS needs after a call returned `got`. False: the connection failed, or the time is
+    // over.
+    bool blocked(int got, double until);
     tcp_socket socket_;
     std::shared_ptr<ssl_ctx_st> as_;
     ssl_st *tls_ = nullptr;
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -252,12 +252,12 @@
     return kept_answer{one.text(0), one.text(1)};
 }
 
-std::vector<audit_entry> tenant_store::audit(std::uint64_t after, std::size_t most) {
+std::vector<audit_entry> tenant_store::audit(std::uint64_t after, std::size_t maximum) {
     std::vector<audit_entry> all;
     statement each(db_, path_,
                    "SELECT number, version, time, who, what, name, before, after FROM audit WHERE number > ?"
                    " ORDER BY number LIMIT ?");
-    each.with(after).with(std::uint64_t{most});
+    each.with(after).with(std::uint64_t{maximum});
     while (each.step())
         all.push_back({each.number(0), each.number(1), each.real(2), each.text(3), each.text(4), each.text(5),
                        each.text(6), each.text(7)});
--- a/src/store/store.hpp
+++ b/src/store/store.hpp
@@ -31,11 +31,14 @@
     std::string answer;
 };
 
+// How the store was found when it was opened.
 struct opened {
     tenants::set_ptr set;
     std::string damage; // not empty: what is wrong with the store; the set is the last good copy's
 };
 
+// The open store. Reads may come from any thread (SQLite's serialized mode); the registry serializes
+// commit().
 class tenant_store {
 public:
     // Opens or makes the file, brings an older schema up to date, and checks it whole. A damaged file is left
@@ -46,6 +49,7 @@
     tenant_store(const tenant_store &) = delete;
     tenant_store &operator=(const tenant_store &) = delete;
 
+    // What was found at the start.
     const opened &at_start() const { return at_start_; }
 
     // The next version: `log` names each tenant that it changes (number and version are given here). Throws
@@ -54,18 +58,26 @@
                 const std::vector<audit_entry> &log, const std::string &idempotency_key = {},
                 const kept_answer &answer = {});
 
+    // The answer kept under this key; empty: there is none. Throws store_failure.
     std::optional<kept_answer> answered(const std::string &idempotency_key);
-    std::vector<audit_entry> audit(std::uint64_t after, std::size_t most);
+    // Up to `maximum` entries of the audit log after this number, in order. Throws store_failure.
+    std::vector<audit_entry> audit(std::uint64_t after, std::size_t maximum);
 
     // A whole copy, while all goes on: to a file of its own, then under its name at once.
     void copy_to(const std::string &path);
+    // The file's path.
     const std::string &path() const { return path_; }
 
 private:
+    // A prepared SQL statement.
     struct statement;
+    // Executes SQL that returns no rows. Throws store_failure.
     void run(const char *sql);
+    // Brings an older schema up to date, each step in a transaction.
     void migrate();
+    // What the integrity check finds; empty: nothing.
     std::string damage();
+    // Reads all tenants.
     tenants::set_ptr load();
 
     const std::string path_;
--- a/src/tenants/model.hpp
+++ b/src/tenants/model.hpp
@@ -35,6 +35,7 @@
     std::string use_case;
 };
 
+// A tenant's class of requests, as its routes name it.
 struct named_use_case {
     std::string name;
     request_class decides;
@@ -59,6 +60,7 @@
     double weight = 1;      // against the others', of what is left
 };
 
+// One customer of the service, with all its settings.
 struct tenant {
     std::string name; // 1 to 63 small letters, digits and '-', which neither begins nor ends it
     std::uint64_t incarnation = 0;
@@ -76,25 +78,34 @@
     std::string at, why;
 };
 
+// The tenant and the route of a request.
 struct match {
     tenant_ptr of; // null: no route leads there
     const route *by = nullptr;
 };
 
+// One version of all tenants. Immutable once it is shared, so it may be read by any thread. Invariant: no two
+// tenants have the same host and prefix, or the same key id.
 class tenant_set {
 public:
+    // Grows by one with each transaction.
     std::uint64_t version() const { return version_; }
-    std::uint64_t incarnations() const { return incarnations_; } // given out so far
+    // Incarnation numbers given out so far.
+    std::uint64_t incarnations() const { return incarnations_; }
+    // How many tenants there are, those that drain included.
     std::size_t size() const { return by_name_.size(); }
+    // The tenant of this name; null: there is none.
     tenant_ptr find(std::string_view name) const;
     // By the key's public id, which is its own in the whole set.
     tenant_ptr of_key(std::string_view id) const;
     // Where a query goes; also of a tenant that is staged or drains, as its refusal must be told apart.
     match find(std::string_view host, std::string_view path) const;
+    // All tenants by name.
     const std::map<std::string, tenant_ptr, std::less<>> &all() const { return by_name_; }
 
 private:
     friend class editor;
+    // A route of a tenant, by its place in the tenant's list.
     struct entry {
         tenant_ptr of;
         std::size_t route;
@@ -138,6 +149,7 @@
 // The checks of one tenant by itself, which need no set.
 std::vector<fault> check(const tenant &of);
 
+// The name that JSON and logs have.
 const char *name_of(state is);
 
 } // namespace harrierpass::tenants
--- a/src/tenants/text.hpp
+++ b/src/tenants/text.hpp
@@ -10,6 +10,7 @@
 // `secrets`: with the hashes of keys, as the store and an export have them; else their ids and notes only.
 std::string to_json(const tenant &of, bool secrets);
 
+// A tenant, usable only where there are no faults.
 struct read_tenant {
     tenant made;
     std::vector<fault> faults;
