--- a/tests/testbed/cold_start_test.cpp
+++ b/tests/testbed/cold_start_test.cpp
@@ -4,6 +4,7 @@
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include "support/helpers.hpp"
 #include "support/process_helpers.hpp"
+#include "support/testbed_helpers.hpp"
 
 #include "base/text.hpp"
 #include "proxy/discovery/discovery_client.hpp"
@@ -23,7 +24,10 @@
 namespace harrierpass::testbed {
 namespace {
 
-const std::string tier = R"(
+const class_times tier_times{"10ms", "300ms", "900ms"};
+
+const std::string tier =
+    R"(
 length = "5s"
 [fleet]
 servers = 16
@@ -43,20 +47,8 @@
 watch_work = "1ms"
 queue = 10
 come_back = "1s"
-[[use_case]]
-name = "lookup"
-work = "10ms"
-slo = "300ms"
-timeout = "900ms"
-[[use_case]]
-name = "invoice"
-effect = "non_idempotent"
-write = true
-share = 0.1
-work = "10ms"
-slo = "300ms"
-timeout = "900ms"
-)";
+)" + request_class("lookup", "", tier_times) +
+    request_class("invoice", "effect = \"non_idempotent\"\nwrite = true\nshare = 0.1\n", tier_times);
 
 run_result played(const std::string &proxies, const std::string &faults = "", bool agent = false,
                   const std::string &logs = "") {
@@ -64,8 +56,7 @@
         parse_experiment(tier + "[proxies]\ncount = 24\nshared_list = true\n" + proxies + faults, "day.toml");
     given.proxies.shared_list = !agent;
     auto run = on_sockets(given, logs);
-    for (const auto &each : run.histories)
-        MESSAGE(each);
+    print_histories(run);
     CHECK(run.broken() == 0);
     return run;
 }
--- a/tests/testbed/many_test.cpp
+++ b/tests/testbed/many_test.cpp
@@ -20,28 +20,12 @@
 namespace harrierpass::testbed {
 namespace {
 
-const std::string use = R"(
-[[use_case]]
-name = "lookup"
-work = "8ms"
-slo = "200ms"
-timeout = "600ms"
-[[use_case]]
-name = "invoice"
-effect = "non_idempotent"
-write = true
-share = 0.2
-work = "8ms"
-slo = "200ms"
-timeout = "600ms"
-)";
+const std::string classes =
+    request_class("lookup") +
+    request_class("invoice", "effect = \"non_idempotent\"\nwrite = true\nshare = 0.2\n");
 
 experiment made(const std::string &rest) {
-    return parse_experiment(rest + use, "day.toml");
-}
-
-std::string link_fault(const std::string &kind, const std::string &more) {
-    return "[[link]]\nkind = \"" + kind + "\"\nat = \"1s\"\nfor = \"1s\"\n" + more + "\n";
+    return parse_experiment(rest + classes, "day.toml");
 }
 
 // A socket in the loop that keeps what it hears.
@@ -410,9 +394,9 @@
         CAPTURE(text);
         CHECK(said(text).substr(0, why.size()) == why);
     }
-    CHECK_THROWS_WITH(parse_experiment("base = \"none.inc\"\n" + use, "day.toml"),
+    CHECK_THROWS_WITH(parse_experiment("base = \"none.inc\"\n" + classes, "day.toml"),
                       "day.toml:1: base none.inc cannot be read");
-    CHECK_THROWS_WITH(parse_experiment(use, "day.toml", true), "day.toml:1: has no [large] part");
+    CHECK_THROWS_WITH(parse_experiment(classes, "day.toml", true), "day.toml:1: has no [large] part");
 }
 
 // Two executions of one query, one after the other at servers in two processes: by the time at which they
@@ -601,8 +585,7 @@
 )");
     const std::string folder = folder_of("many-proxies-");
     const auto run = on_sockets(given, folder);
-    for (const auto &each : run.histories)
-        MESSAGE(each);
+    print_histories(run);
     CHECK(run.broken() == 0);
     CHECK(run.none <= 3); // what the killed one held
     const auto log = [&](const char *name) { return test::read_file(folder + "/" + name + ".log"); };
@@ -641,8 +624,7 @@
 between = ["proxy-server"]
 )");
     const auto run = on_sockets(given);
-    for (const auto &each : run.histories)
-        MESSAGE(each);
+    print_histories(run);
     CHECK(run.broken() == 0);
     CHECK(run.aborted + run.rejected > 5); // the link was down
     CHECK(run.completed > run.queries / 2);
@@ -717,8 +699,7 @@
     const auto with = [&](const std::string &faults) {
         auto run = run_virtual(made(day + faults), {}, 1);
         CAPTURE(faults);
-        for (const auto &each : run.histories)
-            MESSAGE(each);
+        print_histories(run);
         CHECK(run.broken() == 0);
         return run;
     };
@@ -797,8 +778,7 @@
 proxies = [12, 13]
 )");
     const auto with = on_sockets(given), without = on_sockets(given, "", plant::nothing, decider::whole_list);
-    for (const auto &each : with.histories)
-        MESSAGE(each);
+    print_histories(with);
     CHECK(with.broken() == 0);
     CHECK(with.completed > 1000);
     CHECK(figure(with, "dials_a_query") < 0.85 * figure(without, "dials_a_query"));
--- a/tests/testbed/testbed_test.cpp
+++ b/tests/testbed/testbed_test.cpp
@@ -20,7 +20,8 @@
 
 namespace harrierpass::testbed {
 
-const std::string head = R"(
+const std::string head =
+    R"(
 length = "4s"
 [fleet]
 servers = 4
@@ -34,41 +35,15 @@
 keys = 300
 [proxies]
 count = 2
-[[use_case]]
-name = "lookup"
-effect = "idempotent"
-share = 0.6
-work = "8ms"
-slo = "200ms"
-timeout = "600ms"
-[[use_case]]
-name = "booking"
-effect = "deduplicated"
-group = "all"
-window = "10s"
-write = true
-share = 0.2
-work = "8ms"
-slo = "200ms"
-timeout = "600ms"
-[[use_case]]
-name = "invoice"
-effect = "non_idempotent"
-write = true
-share = 0.2
-work = "8ms"
-slo = "200ms"
-timeout = "600ms"
-)";
+)" + request_class("lookup", "effect = \"idempotent\"\nshare = 0.6\n") +
+    request_class("booking", "effect = \"deduplicated\"\ngroup = \"all\"\nwindow = \"10s\"\n"
+                             "write = true\nshare = 0.2\n") +
+    request_class("invoice", "effect = \"non_idempotent\"\nwrite = true\nshare = 0.2\n");
 
 experiment made(const std::string &rest) {
     return parse_experiment(head + rest, "day.toml");
 }
 
-std::string fault(const std::string &kind, const std::string &at, const std::string &more) {
-    return "[[fault]]\nkind = \"" + kind + "\"\nat = \"" + at + "\"\n" + more + "\n";
-}
-
 TEST_CASE("the histogram keeps percentiles within its stated error") {
     chance from(3);
     histogram of;
