--- a/examples/toy_server.cpp
+++ b/examples/toy_server.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 // What a proxy needs around it, in one program on loopback: discovery at port 8500 and three cache servers
-// at 9101 to 9103 with an origin behind them that is slow by 50 ms. A few lines over the laboratory's
+// at 9101 to 9103 with an origin behind them that is slow by 50 ms. A few lines over the testbed's
 // library; harrierpass_testbed does more of the kind. Lines on standard input change things: "leave 1",
 // "crash 1", "end crash 1"; "help" lists them. Its end ends nothing, so that it can run in the background.
 #include "testbed/program/fleet_shell.hpp"
--- a/src/testbed/faults/system_faults.cpp
+++ b/src/testbed/faults/system_faults.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// A library that the laboratory preloads into a proxy that it starts: calls of the system fail, or do a part
+// A library that the testbed preloads into a proxy that it starts: calls of the system fail, or do a part
 // of what was asked, as the manual pages say they may; the wall clock steps. Only errors that leave a
 // connection as it was are made up: one that breaks it for good is a link's fault. What it did is counted and
 // printed when the process ends.
--- a/tests/testbed/testbed_test.cpp
+++ b/tests/testbed/testbed_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// The laboratory: its models, its rule checker (which must see what is planted, and nothing where nothing
+// The testbed: its models, its rule checker (which must see what is planted, and nothing where nothing
 // is), its files, and the real proxy on sockets before it.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include "support/helpers.hpp"
