--- a/tests/testbed/testbed_test.cpp
+++ b/tests/testbed/testbed_test.cpp
@@ -110,14 +110,14 @@
 // What one server says to a list of jobs, each "TIME key" or "TIME op!" for a write, in virtual time.
 struct bench {
     explicit bench(const std::string &rest)
-        : given(made(rest)), judge(clock, given, 0), servers(clock, given, judge, 1) {}
+        : given(made(rest)), checker(clock, given, 0), servers(clock, given, checker, 1) {}
     void send(double at, index server, const job &what) {
         clock.at(at, [this, server, what] {
-            judge.allow_unknown_requests = true;
-            judge.foreign_request_seen(what.op, what.attempt, what.use_case);
-            judge.attempt_received(what.op, what.attempt, server, clock.now());
+            checker.allow_unknown_requests = true;
+            checker.foreign_request_seen(what.op, what.attempt, what.use_case);
+            checker.attempt_received(what.op, what.attempt, server, clock.now());
             servers.at(server).receive(what, [this, what, server](const result &with) {
-                judge.attempt_ended(what.op, what.attempt, server);
+                checker.attempt_ended(what.op, what.attempt, server);
                 came.push_back({clock.now(), what.op, with});
             });
         });
@@ -129,7 +129,7 @@
     };
     timeline clock;
     experiment given;
-    rule_checker judge;
+    rule_checker checker;
     fleet servers;
     std::vector<one> came;
 };
@@ -245,20 +245,20 @@
             group == "all" ? deduplication_scope::all : deduplication_scope::cell;
         given.use_cases[1].routing.deduplication_window = 2;
         timeline clock;
-        rule_checker judge(clock, given, 0);
-        judge.request_sent(7, 0, 0, 1, 100);
-        judge.attempt_received(7, 0, 0, 0);
+        rule_checker checker(clock, given, 0);
+        checker.request_sent(7, 0, 0, 1, 100);
+        checker.attempt_received(7, 0, 0, 0);
         if (!held)
-            judge.effect_executed(7, 0, 0);
-        judge.attempt_ended(7, 0, 0);
+            checker.effect_executed(7, 0, 0);
+        checker.attempt_ended(7, 0, 0);
         clock.advance(second_at, true);
-        judge.attempt_received(7, 0, 1, second_at);
-        judge.effect_executed(7, 0, 1);
-        judge.attempt_ended(7, 0, 1);
+        checker.attempt_received(7, 0, 1, second_at);
+        checker.effect_executed(7, 0, 1);
+        checker.attempt_ended(7, 0, 1);
         clock.advance(50, true);
         if (held)
-            judge.effect_executed(7, 0, 0);
-        return std::pair(judge.broken(rule::ran_twice), judge.late_effects());
+            checker.effect_executed(7, 0, 0);
+        return std::pair(checker.broken(rule::ran_twice), checker.late_effects());
     };
     CHECK(broken("all", 1, false) == std::pair<std::uint64_t, std::uint64_t>(0, 1));
     CHECK(broken("all", 1, true) == std::pair<std::uint64_t, std::uint64_t>(0, 1));
--- a/tests/testbed/verification/event_merge_test.cpp
+++ b/tests/testbed/verification/event_merge_test.cpp
@@ -16,7 +16,7 @@
     // An event that is told from others by its operation.
     static observed_event settled(operation op, double when) {
         observed_event made;
-        made.is = observed_event::kind::settled;
+        made.is = observed_event::kind::operation_finished;
         made.op = op;
         made.when = when;
         return made;
@@ -86,9 +86,9 @@
 
 TEST_CASE("a recorded event has the arguments of the call when it is replayed") {
     fixture test;
-    test.recorder.received(7, 1, 2, 0.5);
-    test.recorder.link_trouble(link_kind::proxy_list, 3, 0, true);
-    test.recorder.answered(8, 2, reply::rejected, true);
+    test.recorder.attempt_received(7, 1, 2, 0.5);
+    test.recorder.link_fault_changed(link_kind::proxy_list, 3, 0, true);
+    test.recorder.response_received(8, 2, reply::rejected, true);
     REQUIRE(test.delivered.size() == 3);
     const auto recorded = test.delivered;
     for (const auto &each : recorded)
