--- a/src/testbed/program/main.cpp
+++ b/src/testbed/program/main.cpp
@@ -8,6 +8,7 @@
 #include "testbed/program/run_command.hpp"
 #include "testbed/program/subset_table.hpp"
 #include "testbed/runs/baseline_policies.hpp"
+#include "testbed/runs/load_run.hpp"
 #include "testbed/runs/socket_run.hpp"
 #include "testbed/soak/soak_plan.hpp"
 #include "testbed/soak/soak_runner.hpp"
--- /dev/null
+++ b/src/testbed/runs/generator_lateness.cpp
@@ -0,0 +1,28 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "testbed/runs/generator_lateness.hpp"
+
+#include <algorithm>
+
+namespace harrierpass::testbed {
+namespace {
+
+constexpr double max_lateness_share = 0.1;   // of the shortest latency objective
+constexpr double min_lateness_bound = 0.005; // s, if that share is less
+constexpr double no_latency_objective = 1e9; // s
+
+} // namespace
+
+void void_if_generator_was_late(run_result &result, const experiment &settings) {
+    double shortest = no_latency_objective;
+    for (const auto &use_case : settings.use_cases)
+        shortest = std::min(shortest, use_case.routing.latency_objective);
+    const double bound = std::max(min_lateness_bound, max_lateness_share * shortest);
+    const bool pauses_clients =
+        std::any_of(settings.faults.begin(), settings.faults.end(),
+                    [](const fault_settings &fault) { return fault.kind == fault_kind::client_pause; });
+    if (!pauses_clients && result.lateness_p99 > bound)
+        result.void_because = "the machine was too slow: the load generator was late by " +
+                              std::to_string(result.lateness_p99 * 1000) + " ms in its slowest hundredth";
+}
+
+} // namespace harrierpass::testbed
--- a/tests/testbed/testbed_test.cpp
+++ b/tests/testbed/testbed_test.cpp
@@ -9,6 +9,7 @@
 #include "testbed/load/client_port.hpp"
 #include "testbed/model/experiment_reader.hpp"
 #include "testbed/processes/fleet_ports.hpp"
+#include "testbed/runs/load_run.hpp"
 #include "testbed/runs/socket_run.hpp"
 #include "testbed/runs/virtual_run.hpp"
 #include "testbed/verification/plot.hpp"
