--- a/src/testbed/model/servers.hpp
+++ b/src/testbed/model/servers.hpp
@@ -3,8 +3,10 @@
 // The same objects serve a run in virtual time and one on sockets.
 #pragma once
 
+#include "testbed/model/cores.hpp"
 #include "testbed/model/experiment.hpp"
 #include "testbed/model/observer.hpp"
+#include "testbed/model/origin.hpp"
 #include "testbed/model/random.hpp"
 #include "testbed/model/timeline.hpp"
 
@@ -34,54 +36,6 @@
 };
 using answer_to = std::function<void(const result &)>;
 
-// Work on a number of cores, in the order in which it comes.
-class cores {
-public:
-    cores(timeline &clock, index count, index queue) : clock_(clock), free_(count), max_queue_(queue) {}
-    // False: the queue is full. `work` tells the time it takes when it begins.
-    bool take(std::function<double()> work, std::function<void()> then);
-    void stand(bool still); // frozen: nothing begins or ends
-    void clear();           // what was in hand or waited is gone
-    std::size_t waiting() const { return queue_.size(); }
-    index busy() const { return busy_; }
-
-private:
-    struct item {
-        std::function<double()> work;
-        std::function<void()> then;
-    };
-    void start(item one);
-    void finish(std::uint64_t incarnation, const std::function<void()> &then);
-
-    timeline &clock_;
-    index free_, busy_ = 0;
-    const std::size_t max_queue_;
-    std::deque<item> queue_;
-    bool still_ = false;
-    std::uint64_t incarnation_ = 0;
-    std::deque<std::function<void()>> finished_while_frozen_; // ended while frozen
-};
-
-// The place where all values are: slow, and able to take far less than all queries.
-class origin {
-public:
-    origin(timeline &clock, const experiment &settings, std::uint32_t seed);
-    // False in `done`: it had no room.
-    void fetch(const std::function<void(bool)> &done);
-    void slow(double factor, bool begins);
-    void stop(bool begins);
-    std::uint64_t fetches() const { return fetches_; }
-    std::size_t waiting() const { return cores_.waiting(); }
-
-private:
-    const origin_settings &settings_;
-    random_generator random_;
-    cores cores_;
-    double factor_ = 1;
-    index stops_ = 0;
-    std::uint64_t fetches_ = 0;
-};
-
 class fleet;
 
 class cache_server {
