--- a/src/testbed/model/experiment.cpp
+++ b/src/testbed/model/experiment.cpp
@@ -89,14 +89,14 @@
     for (const auto &tenant : settings.tenants)
         made.tenant_quotas.push_back(tenant.quota_rps);
     made.over_quota_weight_share = settings.proxies.over_quota_weight_share;
-    made.local_zone = zone_of_proxy(settings, proxy);
+    made.local_zone = zone_index(zone_of_proxy(settings, proxy));
     made.proxy_count = settings.proxies.count;
     made.proxy_index = proxy;
     made.handshake_cost = settings.costs.handshake;
     made.origin_fetch_cost = settings.costs.origin;
     made.upstream_idle_timeout = settings.fleet.idle_timeout;
     made.slow_start = settings.warm_up.routing;
-    made.origin_kind = settings.fleet.cache_aside ? 1 : none;
+    made.origin_kind = settings.fleet.cache_aside ? kind_index(1) : none;
     made.constraints.may_cancel = settings.proxies.may_cancel;
     made.constraints.may_check_health = settings.proxies.may_check_health;
     made.constraints.watch_required = true;
--- a/src/testbed/program/subset_table.cpp
+++ b/src/testbed/program/subset_table.cpp
@@ -30,7 +30,7 @@
 std::vector<coverage_endpoint> servers_of(const experiment &settings, index count) {
     std::vector<coverage_endpoint> made;
     for (index i = 0; i < count; ++i)
-        made.push_back({server_id(i), 1, zone_of(settings, i)});
+        made.push_back({server_id(i), 1, zone_index(zone_of(settings, i))});
     return made;
 }
 
--- a/src/testbed/runs/virtual_proxy.cpp
+++ b/src/testbed/runs/virtual_proxy.cpp
@@ -231,9 +231,9 @@
         of.live = true;
         of.serial = ++serial_;
         request_info made;
-        made.request = at;
-        made.class_id = query.use_case;
-        made.tenant = query.tenant;
+        made.request = request_index(at);
+        made.class_id = class_index(query.use_case);
+        made.tenant = tenant_index(query.tenant);
         made.has_key = query.keyed;
         made.is_write = query.write;
         made.key = query.key;
@@ -264,10 +264,11 @@
     end_attempt(of);
     if (was_out) {
         ++counts_.timed_out;
-        router_->on_client_disconnected(clock_.now(), query);
-        router_->on_attempt_finished(clock_.now(), query, of.sent - 1, outcome::canceled, true, false);
+        router_->on_client_disconnected(clock_.now(), request_index(query));
+        router_->on_attempt_finished(clock_.now(), request_index(query), attempt_number(of.sent - 1),
+                                     outcome::canceled, true, false);
     } else {
-        router_->on_client_disconnected(clock_.now(), query);
+        router_->on_client_disconnected(clock_.now(), request_index(query));
     }
     apply_actions();
 }
@@ -278,7 +279,7 @@
             if (auto &of = requests_[i]; of.live && of.is.op == op && of.is.attempt == attempt && !of.gone) {
                 of.gone = true;
                 if (!of.answered)
-                    router_->on_client_disconnected(clock_.now(), i);
+                    router_->on_client_disconnected(clock_.now(), request_index(i));
                 return apply_actions();
             }
     });
@@ -290,33 +291,35 @@
         const action act = router_->actions[i];
         switch (act.kind) {
         case action_kind::start_attempt:
-            start_attempt(act.request, act.endpoint);
+            start_attempt(act.request.value(), act.endpoint.value());
             break;
         case action_kind::cancel_attempt:
-            if (auto &of = requests_[act.request]; of.endpoint != none && of.sent == act.attempt + 1) {
+            if (auto &of = requests_[act.request.value()];
+                of.endpoint != none && of.sent == act.attempt.value() + 1) {
                 ++counts_.canceled;
                 counts_.false_canceled += record_suspicion(of.endpoint);
-                const index number = act.attempt;
+                const index number = act.attempt.value();
                 const auto serial = of.serial;
-                clock_.after(0, [this, incarnation = incarnation_, query = act.request, number, serial] {
-                    if (incarnation == incarnation_)
-                        on_attempt_result(query, number, serial, outcome::canceled, false);
-                });
+                clock_.after(0,
+                             [this, incarnation = incarnation_, query = act.request.value(), number, serial] {
+                                 if (incarnation == incarnation_)
+                                     on_attempt_result(query, number, serial, outcome::canceled, false);
+                             });
             }
             break;
         case action_kind::reject_request:
             ++counts_.rejected;
-            respond(act.request, reply::rejected, act.time);
+            respond(act.request.value(), reply::rejected, act.time);
             break;
         case action_kind::fail_request:
             ++counts_.aborted;
-            respond(act.request, reply::aborted, 0);
+            respond(act.request.value(), reply::aborted, 0);
             break;
         case action_kind::release_request:
-            released_.push_back(act.request);
+            released_.push_back(act.request.value());
             break;
         case action_kind::check_health:
-            check_health(act.endpoint);
+            check_health(act.endpoint.value());
             break;
         case action_kind::set_timer:
             wake_at_ = act.time;
@@ -524,7 +527,8 @@
         ++counts_.completed;
         respond(query, reply::completed, 0);
     }
-    router_->on_attempt_finished(clock_.now(), query, number, result, completed, fetched);
+    router_->on_attempt_finished(clock_.now(), request_index(query), attempt_number(number), result,
+                                 completed, fetched);
     apply_actions();
 }
 
@@ -540,7 +544,8 @@
         clock_.after(0, [this, incarnation = incarnation_, query, number = of.sent - 1, serial = of.serial] {
             if (incarnation != incarnation_ || !requests_[query].live || requests_[query].serial != serial)
                 return;
-            router_->on_attempt_finished(clock_.now(), query, number, outcome::canceled, true, false);
+            router_->on_attempt_finished(clock_.now(), request_index(query), attempt_number(number),
+                                         outcome::canceled, true, false);
             apply_actions();
         });
     }
@@ -575,7 +580,7 @@
             if (incarnation != incarnation_)
                 return;
             counts_.health_checks_failed += !answered;
-            router_->on_health_check_finished(clock_.now(), server, answered);
+            router_->on_health_check_finished(clock_.now(), endpoint_index(server), answered);
             apply_actions();
         });
     };
@@ -802,12 +807,12 @@
                 checker_.endpoint_state_notified(number_, each.server, endpoint_state::removed);
     for (const auto &each : members) {
         endpoint_info made;
-        made.endpoint = each.server;
+        made.endpoint = endpoint_index(each.server);
         made.id = ids_[each.server];
         made.started_at = each.started;
-        made.kind = each.server == servers_.size() ? 1 : 0;
-        made.zone = zone_of(settings_, each.server);
-        made.cell = each.server;
+        made.kind = kind_index(each.server == servers_.size() ? 1 : 0);
+        made.zone = zone_index(zone_of(settings_, each.server));
+        made.cell = cell_index(each.server);
         made.state = each.state;
         entries.push_back(made);
         endpoint_states_[each.server] = each.state;
