--- a/src/testbed/model/histogram.hpp
+++ b/src/testbed/model/histogram.hpp
@@ -8,6 +8,7 @@
 
 namespace harrierpass::testbed {
 
+// A histogram of durations, in s.
 class histogram {
 public:
     void add(double seconds);
--- a/src/testbed/model/list_service.hpp
+++ b/src/testbed/model/list_service.hpp
@@ -12,6 +12,7 @@
 
 namespace harrierpass::testbed {
 
+// What a poll or a watch is answered with.
 struct list_answer {
     bool refused = false, whole = false;
     double retry_after = 0; // s, where it was refused
@@ -19,6 +20,7 @@
     std::vector<member_list::member> members; // whole: those that are here
 };
 
+// The service; polls are numbered from 1.
 class list_service {
 public:
     list_service(timeline &clock, const list_service_settings &settings, member_list &list);
--- a/src/testbed/model/membership.hpp
+++ b/src/testbed/model/membership.hpp
@@ -42,6 +42,7 @@
     index silent_ = 0;
 };
 
+// The list that the experiment changes: changes are published after a delay, in order for each server.
 class membership : public member_list {
 public:
     membership(timeline &clock, const experiment &settings, index servers, std::uint32_t seed);
--- a/src/testbed/model/observer.hpp
+++ b/src/testbed/model/observer.hpp
@@ -17,6 +17,7 @@
 // How a client's try ended.
 enum class reply : std::uint8_t { completed, rejected, aborted, cut, none };
 
+// Receives the events of a run.
 class observer {
 public:
     virtual ~observer() = default;
--- a/src/testbed/model/random.hpp
+++ b/src/testbed/model/random.hpp
@@ -9,6 +9,7 @@
 
 namespace harrierpass::testbed {
 
+// Draws change the state: their order decides what a run does.
 class random_generator {
 public:
     explicit random_generator(std::uint32_t seed) : from_(seed == 0 ? 1 : seed) { from_.discard(8); }
--- a/src/testbed/model/servers.hpp
+++ b/src/testbed/model/servers.hpp
@@ -26,6 +26,7 @@
     index missed_at = none; // at the origin in aside mode: the server that lacked the key
 };
 
+// What a response says of the cache.
 enum class note : std::uint8_t { none, hit, miss, pending };
 
 // How an execution ends at a server; one that a fault swallows never ends.
@@ -38,6 +39,7 @@
 
 class fleet;
 
+// One cache server: its cores, its cache, its faults.
 class cache_server {
 public:
     cache_server(fleet &of, index number, std::uint32_t seed);
--- a/src/testbed/model/timeline.hpp
+++ b/src/testbed/model/timeline.hpp
@@ -11,6 +11,7 @@
 
 namespace harrierpass::testbed {
 
+// A clock and a queue of callbacks; not thread-safe.
 class timeline {
 public:
     explicit timeline(double start = 0) : now_(start) {}
