--- a/examples/toy_server.cpp
+++ b/examples/toy_server.cpp
@@ -3,6 +3,7 @@
 // at 9101 to 9103 with an origin behind them that is slow by 50 ms. A few lines over the laboratory's
 // library; harrierpass_testbed does more of the kind. Lines on standard input change things: "leave 1",
 // "crash 1", "end crash 1"; "help" lists them. Its end ends nothing, so that it can run in the background.
+#include "testbed/model/experiment_reader.hpp"
 #include "testbed/program/fleet_shell.hpp"
 
 #include <iostream>
