--- a/src/testbed/model/observer.hpp
+++ b/src/testbed/model/observer.hpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 // What the modelled world tells of itself: each thing that a client, a server, the list or a link sees, once,
-// as it happens. The referee hears it directly where all lives in one process; where parts of the world are
-// processes of their own, a writer takes it down with its time and the referee hears it in the order of these
-// times (judge/merge.hpp). Times are the speaker's clock, s.
+// as it happens. The rule_checker hears it directly where all lives in one process; where parts of the world
+// are processes of their own, a writer takes it down with its time and the rule_checker hears it in the order
+// of these times (judge/merge.hpp). Times are the speaker's clock, s.
 #pragma once
 
 #include "testbed/model/experiment.hpp"
@@ -17,6 +17,7 @@
 // How a client's try ended.
 enum class reply : std::uint8_t { completed, rejected, aborted, cut, none };
 
+// Receives the events of a run.
 class observer {
 public:
     virtual ~observer() = default;
@@ -32,7 +33,7 @@
 
     // The servers. `sent`: when, s.
     virtual void foreign_request_seen(operation op, index attempt,
-                                      index use_case) = 0; // where strangers' queries may come
+                                      index use_case) = 0; // where allow_unknown_requests' queries may come
     virtual void attempt_received(operation op, index attempt, index server, double sent) = 0;
     virtual void attempt_ended(operation op, index attempt,
                                index server) = 0; // answered, or its connection ended
--- a/src/testbed/program/main.cpp
+++ b/src/testbed/program/main.cpp
@@ -8,6 +8,7 @@
 #include "testbed/program/run_command.hpp"
 #include "testbed/program/subset_table.hpp"
 #include "testbed/runs/baseline_policies.hpp"
+#include "testbed/runs/load_run.hpp"
 #include "testbed/runs/socket_run.hpp"
 #include "testbed/soak/soak_plan.hpp"
 #include "testbed/soak/soak_runner.hpp"
@@ -43,7 +44,7 @@
         to.add_option("--results", options.results, "JSON lines are added to this file");
         to.add_option("--plot", options.plot, "SVG; a folder where there are several experiments");
         to.add_option("--by", options.policy, "who decides instead: module, whole_list, random, ...");
-        to.add_option("--trace", options.trace, "all that the referee saw of the first run");
+        to.add_option("--trace", options.trace, "all that the rule_checker saw of the first run");
         to.add_option("--jobs", options.jobs, "runs at a time, in virtual time")->check(CLI::Range(1, 256));
         to.add_flag("--virtual", options.is_virtual, "in virtual time, not on sockets");
         to.add_option("--program", sockets.program, "the proxy; else the one beside harrierpass_testbed");
--- a/tests/testbed/links/conditions_test.cpp
+++ b/tests/testbed/links/conditions_test.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "testbed/links/conditions.hpp"
+#include "testbed/model/experiment_reader.hpp"
 
 #include "support/testbed_helpers.hpp"
 
--- a/tests/testbed/verification/fleet_metrics_test.cpp
+++ b/tests/testbed/verification/fleet_metrics_test.cpp
@@ -1,4 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
+#include "testbed/model/experiment_reader.hpp"
 #include "testbed/verification/fleet_metrics.hpp"
 
 #include "support/testbed_helpers.hpp"
