--- a/src/router/router.hpp
+++ b/src/router/router.hpp
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 // The routing interface. A caller creates one router per proxy with make_router(), reports every event with
-// its own clock in seconds, and after each call carries out `actions` in order and empties them. The router
-// does no I/O and has no clock.
+// the current time of its own clock in seconds, and after each call executes `actions` in order and clears
+// them. The router does no I/O and has no clock.
 //
 // Contract of the caller:
-//  - A request index is free again after release_request. An endpoint index is free for another id once the
-//    endpoint was reported as removed and no request in progress was sent there.
-//  - Only requests that are not released and endpoints that were listed are named in events.
+//  - A request index may be reused after release_request. An endpoint index may be reused for another id once
+//    the endpoint was reported as removed and no request in progress has an attempt there.
+//  - Events refer only to requests that are not released and to endpoints that were listed.
 //  - Attempts of a request are numbered from 0 in the order of their start_attempt actions.
-//  - After set_timer, on_timer() is called at the time it names.
+//  - After set_timer, the caller calls on_timer() at the time of the action.
 #pragma once
 
 #include "router/types.hpp"
@@ -19,58 +19,61 @@
 
 namespace harrierpass {
 
-/// Decides where requests go. Implementations are deterministic: equal seeds, settings and events give equal
-/// actions.
+/// Routes requests to endpoints. Implementations are deterministic: equal seeds, settings and events give
+/// equal actions.
 class router {
 public:
-    /// Ends without further actions.
+    /// Destroys the router without emitting further actions.
     virtual ~router() = default;
     /// The endpoint list changed, or a poll of it failed.
     virtual void on_endpoints_updated(double now, endpoint_update_kind kind,
                                       std::span<const endpoint_info> entries) = 0;
     /// A request arrived.
     virtual void on_request(double now, const request_info &request) = 0;
-    /// An attempt ended. `over`: the request has its final response, from this attempt or an earlier one.
-    /// `fetched`: the endpoint had to fetch the response from the origin.
+    /// An attempt ended. `response_complete`: the request has its final response, from this attempt or an
+    /// earlier one. `origin_fetched`: the endpoint had to fetch the response from the origin.
     virtual void on_attempt_finished(double now, request_index request, attempt_number attempt,
-                                     outcome result, bool over, bool fetched,
+                                     outcome result, bool response_complete, bool origin_fetched,
                                      const load_report &report = {}) = 0;
-    /// The response has started and is being relayed to the client, whose pace says nothing of the endpoint.
-    virtual void on_response_started(double now, request_index request, bool fetched = false) = 0;
-    /// The body of a request with `streams_body` was sent completely: its attempt and its deadline start now.
+    /// The response has started and is being relayed to the client. From now on the client's speed determines
+    /// the duration, so the rest of the attempt does not count as response time of the endpoint.
+    virtual void on_response_started(double now, request_index request, bool origin_fetched = false) = 0;
+    /// The body of a request with `streams_body` was sent completely: the response time of its attempt starts
+    /// now, and `deadline` replaces the request's deadline.
     virtual void on_request_body_sent(double /*now*/, request_index /*request*/, double /*deadline*/) {}
-    /// The client disconnected; it needs no response any more.
+    /// The client disconnected and no longer needs a response.
     virtual void on_client_disconnected(double now, request_index request) = 0;
-    /// Time (s) until which the latest attempt, not written yet, may be written to its last byte; 0: not any
-    /// more. A caller that has to connect first asks before it writes, as the decision may be outdated.
+    /// Time in seconds until which the latest attempt, if not yet written, may be written to its last byte; 0
+    /// if it must not be written any more. A caller that has to connect first checks this before it writes,
+    /// as the routing decision may be outdated by then.
     virtual double attempt_write_deadline(request_index /*request*/) const {
         return std::numeric_limits<double>::infinity();
     }
-    /// A health check finished; `answered`: the endpoint responded.
-    virtual void on_health_check_finished(double now, endpoint_index endpoint, bool answered,
+    /// A health check finished; `responded`: the endpoint sent a response.
+    virtual void on_health_check_finished(double now, endpoint_index endpoint, bool responded,
                                           const load_report &report = {}) = 0;
     /// A timer fired.
     virtual void on_timer(double now) = 0;
-    /// New settings hold from now on. Requests in progress keep their class and their deadline. The next call
-    /// has to be on_endpoints_updated() with a snapshot in terms of the new settings. Routers that serve only
-    /// as a baseline for comparison may ignore it.
+    /// Applies new settings. Requests in progress keep their class settings and their deadline. The next call
+    /// must be on_endpoints_updated() with a snapshot whose indices refer to the new settings. Routers that
+    /// serve only as a baseline for comparison may ignore new settings.
     virtual void update_settings(double /*now*/, const router_settings & /*settings*/) {}
 
-    /// The endpoint gets no requests because it is ejected.
+    /// The endpoint is ejected and receives no requests.
     virtual bool avoids_endpoint(endpoint_index /*endpoint*/) const { return false; }
-    /// The endpoint is ejected, whether or not mass ejection overrides that.
+    /// The endpoint is ejected, even if mass ejection suspends the effect of ejections.
     virtual bool is_ejected(endpoint_index /*endpoint*/) const { return false; }
-    /// The subset of endpoints in use.
+    /// The subset of endpoints that this proxy prefers.
     virtual subset_view subset() const { return {}; }
 
-    /// Decisions of the calls since it was last emptied, in order; the caller empties it.
+    /// Actions that the calls since the last clear() produced, in order; the caller clears them.
     std::vector<action> actions;
 };
 
-/// Creates the router of one proxy. `seed` determines all its random draws.
+/// Creates the router of one proxy. `seed` determines all of its random draws; `now` is in seconds.
 std::unique_ptr<router> make_router(const router_settings &settings, std::uint32_t seed, double now);
 
-/// Position on the hash ring of a virtual node or a key, given as text (XXH64 with seed 0).
+/// Position on the hash ring of the text of a virtual node or a key (XXH64 with seed 0).
 std::uint64_t ring_hash(std::string_view text);
 
 } // namespace harrierpass
