--- a/src/router/request_queue.cpp
+++ b/src/router/request_queue.cpp
@@ -6,14 +6,14 @@
 namespace harrierpass {
 namespace {
 
-constexpr std::size_t batch_size = 16;    // requests
-constexpr double queue_time_share = 0.25; // of the time allowed
+constexpr std::size_t max_batch_size = 16; // requests
+constexpr double queue_time_share = 0.25;  // share of the allowed time
 
 } // namespace
 
 bool request_queue::add(request_index request, double priority_weight) {
-    const auto is_request = [&](const entry &queued) { return queued.request == request; };
-    if (std::ranges::any_of(entries_, is_request))
+    const auto is_same_request = [&](const entry &queued) { return queued.request == request; };
+    if (std::ranges::any_of(entries_, is_same_request))
         return false;
     const auto position = std::ranges::find_if(
         entries_, [&](const entry &queued) { return priority_weight > queued.priority_weight; });
@@ -27,13 +27,13 @@
 
 std::vector<request_index> request_queue::next_batch() const {
     std::vector<request_index> batch;
-    for (std::size_t i = 0; i < std::min(batch_size, entries_.size()); ++i)
+    for (std::size_t i = 0; i < std::min(max_batch_size, entries_.size()); ++i)
         batch.push_back(entries_[i].request);
     return batch;
 }
 
-double max_queue_time(double time_allowed) {
-    return queue_time_share * time_allowed;
+double max_queue_time(double allowed_time) {
+    return queue_time_share * allowed_time;
 }
 
 } // namespace harrierpass
--- a/src/router/request_queue.hpp
+++ b/src/router/request_queue.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Requests that wait for capacity, highest priority weight first and oldest first among equals.
+// The queue of requests that wait for capacity, ordered by descending priority weight, then by age.
 #pragma once
 
 #include "router/types.hpp"
@@ -8,21 +8,21 @@
 
 namespace harrierpass {
 
-/// The queue of one router, which owns it.
+/// The request queue of one router, which owns it.
 ///
-/// Invariant: a request is in the queue at most once; weights do not rise from front to back.
+/// Invariant: a request is in the queue at most once; priority weights do not increase from front to back.
 class request_queue {
 public:
-    /// Adds the request if it is not queued already; true if it was added.
+    /// Adds the request unless it is already queued; returns true if it was added.
     bool add(request_index request, double priority_weight);
-    /// Removes the request, if it is queued.
+    /// Removes the request if it is queued.
     void remove(request_index request);
-    /// The requests to dispatch next; they stay in the queue. Bounded, as it is made for every slot that
-    /// falls free.
+    /// The requests to dispatch next; they stay in the queue. The size is bounded because a batch is built
+    /// whenever capacity becomes free.
     [[nodiscard]] std::vector<request_index> next_batch() const;
 
 private:
-    /// A request that waits.
+    /// A queued request.
     struct entry {
         request_index request;
         double priority_weight;
@@ -31,7 +31,8 @@
     std::vector<entry> entries_;
 };
 
-/// Longest time that a request may wait in the queue, s, where its objective or its client allows so much.
-[[nodiscard]] double max_queue_time(double time_allowed);
+/// Longest queueing time in seconds of a request whose latency objective or client allows `allowed_time`
+/// seconds in total.
+[[nodiscard]] double max_queue_time(double allowed_time);
 
 } // namespace harrierpass
--- a/src/router/request_table.cpp
+++ b/src/router/request_table.cpp
@@ -21,7 +21,7 @@
 }
 
 std::optional<request_timer> request_timers::take_due(double now) {
-    if (timers_.empty() || timers_.top().at > now)
+    if (timers_.empty() || timers_.top().due_at > now)
         return std::nullopt;
     const request_timer timer = timers_.top();
     timers_.pop();
