--- a/src/router/candidate_selection.cpp
+++ b/src/router/candidate_selection.cpp
@@ -9,14 +9,16 @@
 namespace {
 
 constexpr std::size_t max_candidates = 3;       // endpoints
-constexpr std::size_t local_search_points = 64; // ring points searched for a candidate of the local zone
-constexpr double high_cross_zone_cost = 0.05;   // of a request's value; one candidate is local above it
+constexpr std::size_t local_search_points = 64; // ring points searched for a candidate in the local zone
+constexpr double high_cross_zone_cost = 0.05;   // share of a request's value; requires a local candidate
 constexpr double spill_factor = 2;              // times the mean load
 constexpr double min_spill_threshold = 2;       // attempts in flight
-constexpr double fast_latency_share = 0.15;     // of the latency objective; has capacity to spare
+// Share of the latency objective. An endpoint whose mean response time is within it has spare capacity even
+// if the fleet limit is reached.
+constexpr double fast_latency_share = 0.15;
 
-// An endpoint that was tried is no candidate again, unless only the key was missing there.
-bool was_tried(const request_record &request, endpoint_index endpoint) {
+// An earlier attempt excludes the endpoint from the candidates, unless it ended with a cache miss.
+bool was_attempted(const request_record &request, endpoint_index endpoint) {
     return std::ranges::any_of(request.attempts, [&](const attempt_record &attempt) {
         return attempt.endpoint == endpoint && (attempt.is_open || attempt.result != outcome::cache_miss);
     });
@@ -43,27 +45,29 @@
 
 std::vector<endpoint_index> candidate_selection::ring_candidates(const request_record &request,
                                                                  double now) const {
-    std::vector<endpoint_index> found;
-    const std::size_t wanted = std::min(max_candidates, endpoints_.members().size());
-    bool has_local = cross_zone_cost_ < high_cross_zone_cost; // or needs none
-    std::size_t visited = 0;
+    std::vector<endpoint_index> candidates;
+    const std::size_t max_count = std::min(max_candidates, endpoints_.members().size());
+    // A local candidate is present or not required.
+    bool local_satisfied = cross_zone_cost_ < high_cross_zone_cost;
+    std::size_t visited_points = 0;
     endpoints_.ring().visit_preceding(request.ring_position, [&](const ring_point &point) {
-        if (found.size() >= wanted)
+        if (candidates.size() >= max_count)
             return false;
-        const bool local = is_local(point.endpoint);
-        const bool is_reserved =
-            !has_local && !local && found.size() + 1 == wanted && visited < local_search_points;
-        ++visited;
-        if (is_reserved || std::ranges::find(found, point.endpoint) != found.end() ||
+        const bool in_local_zone = is_local(point.endpoint);
+        const bool is_reserved_for_local = !local_satisfied && !in_local_zone &&
+                                           candidates.size() + 1 == max_count &&
+                                           visited_points < local_search_points;
+        ++visited_points;
+        if (is_reserved_for_local || std::ranges::find(candidates, point.endpoint) != candidates.end() ||
             !is_candidate(point, request, now))
             return true;
-        has_local = has_local || local;
-        found.push_back(point.endpoint);
+        local_satisfied = local_satisfied || in_local_zone;
+        candidates.push_back(point.endpoint);
         return true;
     });
-    std::stable_partition(found.begin(), found.end(),
+    std::stable_partition(candidates.begin(), candidates.end(),
                           [&](endpoint_index endpoint) { return is_local(endpoint); });
-    return found;
+    return candidates;
 }
 
 selection candidate_selection::select_origin(const request_record &request, double now) const {
@@ -85,7 +89,7 @@
     std::pair<bool, double> least_load;
     for (const endpoint_index candidate : candidates) {
         const auto &endpoint = endpoints_.table()[candidate];
-        // The request serves as a health check.
+        // An avoided endpoint is a candidate only if the request serves as its health check.
         if (endpoints_.is_avoided(endpoint))
             return {selection_result::selected, candidate};
         if (!admits(endpoint, request, now))
@@ -117,11 +121,11 @@
         return false;
     if (request.has_hot_key && endpoint.health == endpoint_health::warming_up)
         return false;
-    return !was_tried(request, point.endpoint) && is_usable(endpoint, request, now) &&
+    return !was_attempted(request, point.endpoint) && is_usable(endpoint, request, now) &&
            may_dispatch(request, point.endpoint, now);
 }
 
-// Without health checks, the first attempt of an idempotent request may serve as one.
+// If health checks are not allowed, the first attempt of an idempotent request may serve as one.
 bool candidate_selection::is_usable(const endpoint_record &endpoint, const request_record &request,
                                     double now) const {
     if (!endpoints_.is_avoided(endpoint))
@@ -130,8 +134,10 @@
            request.attempts.empty() && request.class_settings.effect == effect_kind::idempotent;
 }
 
-bool candidate_selection::may_dispatch(const request_record &request, endpoint_index to, double now) const {
-    return now < retries_.dispatch_deadline(request, request.attempts.size(), endpoints_.table(), to);
+bool candidate_selection::may_dispatch(const request_record &request, endpoint_index endpoint,
+                                       double now) const {
+    return now <
+           retry_policy_.dispatch_deadline(request, request.attempts.size(), endpoints_.table(), endpoint);
 }
 
 bool candidate_selection::is_local(endpoint_index endpoint) const {
