--- a/tests/proxy/crossings_test.cpp
+++ b/tests/proxy/crossings_test.cpp
@@ -36,17 +36,18 @@
 }
 
 // The fixture's endpoint list with its second endpoint at another address.
-std::string list_with_second_endpoint(stand &with, const std::string &second, const char *phase = "active") {
-    std::string list = with.list("active", true);
-    list.replace(list.find(with.servers[1].at()), with.servers[1].at().size(), second);
+std::string list_with_second_endpoint(proxy_fixture &fixture, const std::string &second,
+                                      const char *phase = "active") {
+    std::string list = fixture.endpoint_list_json("active", true);
+    list.replace(list.find(fixture.servers[1].address()), fixture.servers[1].address().size(), second);
     const auto state = list.rfind("\"active\"");
     return list.replace(state, 8, "\"" + std::string(phase) + "\"");
 }
 
-void publish_list(stand &with, const std::string &list) {
-    const auto before = with.proxy->counts().of(counter::endpoint_updates);
-    with.discovery.push(ok(list));
-    wait_until([&] { return with.proxy->counts().of(counter::endpoint_updates) > before; });
+void publish_list(proxy_fixture &fixture, const std::string &list) {
+    const auto before = fixture.proxy->counts().of(counter::endpoint_updates);
+    fixture.discovery.push_response(ok_response(list));
+    wait_until([&] { return fixture.proxy->counts().of(counter::endpoint_updates) > before; });
 }
 
 // All that comes on a connection until it closes or is reset.
@@ -65,47 +66,50 @@
 // A retry must not have a second effect: endpoints have forgotten the request by the time the second one's
 // connection is up.
 TEST_CASE("crossing: the window of repeats closes while a connection comes up") {
-    stand with({.replies = {"hold"}, .statement_ms = 9000, .dial_ms = 8000, .window_ms = 400});
-    const full_server slow_endpoint;
-    publish_list(with, list_with_second_endpoint(with, slow_endpoint.at()));
-    const auto &count = with.proxy->counts();
-    toy_client client(with.port);
-    const double sent = steady_now();                 // before it was
-    client.send(asks("book", key_of("s0"), "8000m")); // the system dials again after 1, 3 and 7 s
-    with.servers[0].wait_for(1);
+    proxy_fixture fixture({.responses = {"hold"},
+                           .request_timeout_ms = 9000,
+                           .connect_timeout_ms = 8000,
+                           .deduplication_window_ms = 400});
+    const full_backlog_server slow_endpoint;
+    publish_list(fixture, list_with_second_endpoint(fixture, slow_endpoint.host_port()));
+    const auto &count = fixture.proxy->counts();
+    test_client client(fixture.port);
+    const double sent = steady_now();                         // before it was
+    client.send(make_request("book", key_of("s0"), "8000m")); // the system dials again after 1, 3 and 7 s
+    fixture.servers[0].wait_for_requests(1);
     const auto dials = count.of(counter::upstream_connects);
-    with.servers[0].push("reset");
+    fixture.servers[0].push_response("reset");
     wait_until([&] { return count.of(counter::upstream_connects) > dials; });
     REQUIRE(steady_now() < sent + 0.3); // the second execution was decided on inside the window
     wait_until([&] { return steady_now() > sent + 0.4; });
-    const tcp_socket accepted = slow_endpoint.make_room();
-    CHECK(told(client.read()) == "HTTP/1.1 502 []"); // it may have run: no rejection
+    const tcp_socket accepted = slow_endpoint.accept_waiting();
+    CHECK(status_and_body(client.read()) == "HTTP/1.1 502 []"); // it may have run: no rejection
     CHECK(count.of(counter::attempts_sent) == 1);
-    with.proxy.reset();
+    fixture.proxy.reset();
     CHECK(read_to_end(accepted).find("/book/") == std::string::npos);
 }
 
 // A draining endpoint gets no request: the list says so while a connection to it comes up.
 TEST_CASE("crossing: a drain while a connection comes up") {
-    stand with({.statement_ms = 9000, .dial_ms = 8000});
-    const full_server slow_endpoint;
-    publish_list(with, list_with_second_endpoint(with, slow_endpoint.at()));
-    const auto &count = with.proxy->counts();
-    toy_client client(with.port);
-    client.send(asks("bill", key_of("s1"), "8000m"));
+    proxy_fixture fixture({.request_timeout_ms = 9000, .connect_timeout_ms = 8000});
+    const full_backlog_server slow_endpoint;
+    publish_list(fixture, list_with_second_endpoint(fixture, slow_endpoint.host_port()));
+    const auto &count = fixture.proxy->counts();
+    test_client client(fixture.port);
+    client.send(make_request("bill", key_of("s1"), "8000m"));
     wait_until([&] { return count.of(counter::upstream_connects) > 0; });
-    publish_list(with, list_with_second_endpoint(with, slow_endpoint.at(), "leaving"));
-    const tcp_socket accepted = slow_endpoint.make_room();
-    CHECK(told(client.read()) == "HTTP/1.1 200 [value]"); // by the other one
-    CHECK(with.servers[0].count() == 1);
-    with.proxy.reset();
+    publish_list(fixture, list_with_second_endpoint(fixture, slow_endpoint.host_port(), "leaving"));
+    const tcp_socket accepted = slow_endpoint.accept_waiting();
+    CHECK(status_and_body(client.read()) == "HTTP/1.1 200 [value]"); // by the other one
+    CHECK(fixture.servers[0].request_count() == 1);
+    fixture.proxy.reset();
     CHECK(read_to_end(accepted).find("/bill/") == std::string::npos);
 }
 
 // A write that breaks says nothing of the endpoint, good or bad: the request was not executed there, and it
 // is not at fault.
 TEST_CASE("crossing: a reset while a query is written") {
-    stand with;
+    proxy_fixture fixture;
     const tcp_socket small_listener(::socket(AF_INET, SOCK_STREAM, 0));
     const int receive_buffer_size = 1024; // bytes; most of the body finds no room
     ::setsockopt(small_listener.get(), SOL_SOCKET, SO_RCVBUF, &receive_buffer_size,
@@ -116,9 +120,9 @@
     const address any = *parse_address("127.0.0.1:0");
     REQUIRE(::bind(small_listener.get(), reinterpret_cast<const sockaddr *>(&any.where), any.size) == 0);
     REQUIRE(::listen(small_listener.get(), 8) == 0);
-    publish_list(with, list_with_second_endpoint(with, to_text(local_address(small_listener))));
-    toy_client client(with.port);
-    std::string request = asks("bill", key_of("s1"));
+    publish_list(fixture, list_with_second_endpoint(fixture, to_text(local_address(small_listener))));
+    test_client client(fixture.port);
+    std::string request = make_request("bill", key_of("s1"));
     const std::string body(60000, 'b');
     request.replace(request.find("Content-Length: 4"), 17, "Content-Length: " + std::to_string(body.size()));
     request.replace(request.find("\r\n\r\nbody") + 4, 4, body);
@@ -129,10 +133,10 @@
         const linger at_once{1, 0};
         ::setsockopt(accepted.get(), SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
     });
-    CHECK(told(client.ask(request)) == "HTTP/1.1 200 [value]");
+    CHECK(status_and_body(client.request(request)) == "HTTP/1.1 200 [value]");
     resetting_endpoint.join();
-    CHECK(with.proxy->counts().of(counter::attempts_connect_error) == 1);
-    CHECK(with.servers[0].count() == 1);
+    CHECK(fixture.proxy->counts().of(counter::attempts_connect_error) == 1);
+    CHECK(fixture.servers[0].request_count() == 1);
 }
 
 // ---- A client that has gone
@@ -140,19 +144,19 @@
 // Endpoints do no work for nobody: the client leaves during the first attempt, which then breaks, and there
 // is no retry.
 TEST_CASE("crossing: a client leaves before a further attempt") {
-    stand with({.replies = {"hold"}});
-    const auto &count = with.proxy->counts();
+    proxy_fixture fixture({.responses = {"hold"}});
+    const auto &count = fixture.proxy->counts();
     {
-        toy_client client(with.port);
-        client.send(asks("read", key_of("s0")));
-        with.servers[0].wait_for(1);
+        test_client client(fixture.port);
+        client.send(make_request("read", key_of("s0")));
+        fixture.servers[0].wait_for_requests(1);
     }
     wait_until([&] { return count.of(counter::client_disconnects) == 1; });
-    with.servers[0].push("reset");
+    fixture.servers[0].push_response("reset");
     wait_until([&] { return count.of(counter::client_connections_closed) > 1; }); // the stand's own one, too
     CHECK(count.of(counter::attempts_sent) == 1);
-    with.proxy.reset();
-    CHECK(with.executions() == 1);
+    fixture.proxy.reset();
+    CHECK(fixture.attempt_count() == 1);
 }
 
 // ---- Ends of clients' connections
@@ -161,60 +165,61 @@
 // closes.
 TEST_CASE("crossing: bytes behind the last query of a connection") {
     const std::string body(60000, 'v');
-    stand with({.replies = {"hold"}});
-    const auto &count = with.proxy->counts();
+    proxy_fixture fixture({.responses = {"hold"}});
+    const auto &count = fixture.proxy->counts();
     const auto ended = count.of(counter::client_connections_closed);
     tcp_socket client(::socket(AF_INET, SOCK_STREAM, 0));
     const int receive_buffer_size = 1024; // bytes; most of the answer waits on the proxy's side
     ::setsockopt(client.get(), SOL_SOCKET, SO_RCVBUF, &receive_buffer_size, sizeof receive_buffer_size);
-    const auto at = test::loopback(with.port);
+    const auto at = test::loopback_address(fixture.port);
     REQUIRE(::connect(client.get(), reinterpret_cast<const sockaddr *>(&at), sizeof at) == 0);
-    std::string request = asks("read", key_of("s0"));
+    std::string request = make_request("read", key_of("s0"));
     request.replace(request.find("\r\nX-Class"), 0, "\r\nConnection: close");
-    test::write_text(client.get(), request);
-    with.servers[0].wait_for(1);
-    test::write_text(client.get(), asks("read", key_of("s1")));
-    with.servers[0].push(ok(body));
+    test::send_all(client.get(), request);
+    fixture.servers[0].wait_for_requests(1);
+    test::send_all(client.get(), make_request("read", key_of("s1")));
+    fixture.servers[0].push_response(ok_response(body));
     wait_until([&] { return count.of(counter::client_connections_closed) > ended; });
     const std::string answer = read_to_end(client);
     CHECK(answer.starts_with("HTTP/1.1 200"));
     CHECK(answer.ends_with("\r\n\r\n" + body));
-    CHECK(with.executions() == 1);
+    CHECK(fixture.attempt_count() == 1);
 }
 
 // ---- Signals
 
 // At an upgrade, a successor that is told to stop before it knows its endpoints takes over no clients.
 TEST_CASE("crossing: a signal to end comes to a successor whose list never comes") {
-    const own_directory own;
-    stand with({.port = free_port(), .control = true, .starts = false});
-    running first(with, "serves.json");
-    own.wait_for_successor_socket();
-    with.silent = true;
-    auto &config = with.config;
+    const temporary_directory directory;
+    proxy_fixture fixture({.port = free_port(), .with_control_server = true, .start_proxy = false});
+    proxy_process first(fixture, "serves.json");
+    directory.wait_for_hot_restart_socket();
+    fixture.discovery_silent = true;
+    auto &config = fixture.config;
     config.replace(config.find("\"known\":"), 0, "\"startup\":{\"list_service\":\"shared\"},");
-    running next(with, "never.json");
-    next.proxy.wait_for("taken-over");
-    next.ends();
-    CHECK(first.proxy.text().find("succeeded") == std::string::npos);
-    CHECK(told(toy_client(first.port).ask(asks("read", "1"))) == "HTTP/1.1 200 [value]");
-    first.ends();
+    proxy_process next(fixture, "never.json");
+    next.process.wait_for_output("taken-over");
+    next.stop();
+    CHECK(first.process.output().find("succeeded") == std::string::npos);
+    CHECK(status_and_body(test_client(first.port).request(make_request("read", "1"))) ==
+          "HTTP/1.1 200 [value]");
+    first.stop();
 }
 
 // An active request gets its response whatever signals come on top of each other.
 TEST_CASE("crossing: a reload and two signals to end while a query is out") {
-    stand with({.replies = {"hold"}, .starts = false});
-    running one(with, "signals.json");
-    toy_client client(one.port);
-    client.send(asks("audit", "1"));
-    with.wait_for_execution();
+    proxy_fixture fixture({.responses = {"hold"}, .start_proxy = false});
+    proxy_process one(fixture, "signals.json");
+    test_client client(one.port);
+    client.send(make_request("audit", "1"));
+    fixture.wait_for_attempt();
     for (const int signal : {SIGHUP, SIGTERM, SIGTERM})
-        one.proxy.signal(signal);
-    one.proxy.wait_for("draining ");
-    for (auto &server : with.servers)
-        server.push(ok("late"));
-    CHECK(told(client.read()) == "HTTP/1.1 200 [late]");
-    CHECK(one.proxy.status() == 0);
+        one.process.signal(signal);
+    one.process.wait_for_output("draining ");
+    for (auto &server : fixture.servers)
+        server.push_response(ok_response("late"));
+    CHECK(status_and_body(client.read()) == "HTTP/1.1 200 [late]");
+    CHECK(one.process.wait_for_exit() == 0);
 }
 
 // ---- Discovery
@@ -223,11 +228,11 @@
 // by the time of the next poll. An idle client would be closed to make room; this one is in the middle of its
 // request.
 TEST_CASE("crossing: clients take every descriptor while discovery is away") {
-    stand with({.starts = false});
-    running one(with, "full.json");
-    const auto fds = "/proc/" + std::to_string(one.proxy.id()) + "/fd/";
+    proxy_fixture fixture({.start_proxy = false});
+    proxy_process one(fixture, "full.json");
+    const auto fds = "/proc/" + std::to_string(one.process.pid()) + "/fd/";
     rlimit most{}; // no new descriptor but in the place of one that closes
-    ::prlimit(one.proxy.id(), RLIMIT_NOFILE, nullptr, &most);
+    ::prlimit(one.process.pid(), RLIMIT_NOFILE, nullptr, &most);
     const auto least_free = [&] {
         rlim_t free = 0;
         while (std::filesystem::is_symlink(fds + std::to_string(free)))
@@ -235,21 +240,21 @@
         return free;
     };
     // The sanitizers ask the system for descriptors where a type is met for the first time: it is not here.
-    toy_client(one.port).ask("GET /_health HTTP/1.1\r\n\r\n");
-    one.proxy.wait_for("connection-end side=client");
+    test_client(one.port).request("GET /_health HTTP/1.1\r\n\r\n");
+    one.process.wait_for_output("connection-end side=client");
     most.rlim_cur = least_free();
-    ::prlimit(one.proxy.id(), RLIMIT_NOFILE, &most, nullptr);
-    const auto calls = with.discovery.count();
-    with.discovery.push("close");
-    one.proxy.wait_for("reason=list_lost");
-    toy_client client(one.port);
+    ::prlimit(one.process.pid(), RLIMIT_NOFILE, &most, nullptr);
+    const auto calls = fixture.discovery.request_count();
+    fixture.discovery.push_response("close");
+    one.process.wait_for_output("reason=list_lost");
+    test_client client(one.port);
     client.send("GET /_health HTTP/1.1\r\n");
     wait_until([&] { return least_free() == most.rlim_cur || least_free() == 0; });
     REQUIRE(least_free() > 0); // it lives
-    const auto lost = [&] { return test::count_of(one.proxy.text(), "list-lost"); };
-    wait_until([&] { return with.discovery.count() > calls || lost() > 1 || least_free() == 0; });
-    CHECK(with.discovery.count() > calls);
-    one.ends();
+    const auto lost = [&] { return test::count_occurrences(one.process.output(), "list-lost"); };
+    wait_until([&] { return fixture.discovery.request_count() > calls || lost() > 1 || least_free() == 0; });
+    CHECK(fixture.discovery.request_count() > calls);
+    one.stop();
 }
 
 // A change of the list has to be known 6 s after discovery had it and could be reached, whatever polls failed
@@ -260,8 +265,8 @@
     constexpr double looks = 0.05 + 0.02; // s, the router's sweep and the follower's nap
     for (const std::string form : {"automatic", "subscribe"}) {
         for (const int grace_ms : {100, 250, 2000, 30000}) {
-            stand with({.starts = false});
-            std::string text = with.config;
+            proxy_fixture fixture({.start_proxy = false});
+            std::string text = fixture.config;
             text.replace(text.find("\"peersTotal\":1"), 14,
                          "\"peersTotal\":1,\"discovery\":\"" + form + "\"");
             text.replace(text.find("\"drainGraceMs\":400"), 18,
--- a/tests/proxy/listener_test.cpp
+++ b/tests/proxy/listener_test.cpp
@@ -246,51 +246,53 @@
         {send_fault::would_block},
         {send_fault::partial, send_fault::no_memory, send_fault::interrupted, send_fault::no_buffers},
     };
-    stand fixture;
+    proxy_fixture fixture;
     for (const auto &faults : cases) {
         CAPTURE(faults.size());
         CAPTURE(faults.empty() ? -1 : static_cast<int>(faults.front()));
         const scoped_thread_shortage shortage(faults);
-        toy_client client(fixture.port);
-        client.send(asks("read", "1"));
+        test_client client(fixture.port);
+        client.send(make_request("read", "1"));
         CHECK(client.read() == no_thread_response);
-        CHECK(client.ended());
+        CHECK(client.wait_for_close());
         CHECK(scoped_thread_shortage::faults_taken() == faults.size());
     }
-    CHECK(fixture.executions() == 0);
+    CHECK(fixture.attempt_count() == 0);
 }
 
 // A connection on which nothing can be written is given up, and those that come after it are answered.
 TEST_CASE("listener: an answer that cannot be written does not stop the accepting") {
-    stand fixture;
+    proxy_fixture fixture;
     {
         const scoped_thread_shortage shortage(std::vector<send_fault>(10000, send_fault::no_memory));
-        toy_client blocked(fixture.port), next(fixture.port);
+        test_client blocked(fixture.port), next(fixture.port);
         CHECK(blocked.read().empty());
         CHECK(next.read() == no_thread_response);
         CHECK(scoped_thread_shortage::faults_taken() < 10000);
     }
-    CHECK(told(toy_client(fixture.port).ask(asks("read", "1"))) == "HTTP/1.1 200 [value]");
+    CHECK(status_and_body(test_client(fixture.port).request(make_request("read", "1"))) ==
+          "HTTP/1.1 200 [value]");
 }
 
 // What is needed for a connection, in order: its entry, its state, its thread's function, a copy of that.
 TEST_CASE("listener: a connection without memory has its whole answer, and accepting goes on") {
     constexpr int allocations = 4;
-    stand fixture;
+    proxy_fixture fixture;
     for (const bool lasting : {false, true})
         for (int first = 1; first <= allocations; ++first) {
             CAPTURE(lasting);
             CAPTURE(first);
             {
                 const scoped_memory_shortage shortage(fixture.port, {.first = first, .lasting = lasting});
-                toy_client client(fixture.port);
-                client.send(asks("read", "1"));
+                test_client client(fixture.port);
+                client.send(make_request("read", "1"));
                 CHECK(client.read() == no_thread_response);
-                CHECK(client.ended());
+                CHECK(client.wait_for_close());
             }
-            CHECK(told(toy_client(fixture.port).ask(asks("read", "1"))) == "HTTP/1.1 200 [value]");
+            CHECK(status_and_body(test_client(fixture.port).request(make_request("read", "1"))) ==
+                  "HTTP/1.1 200 [value]");
         }
-    CHECK(fixture.executions() == 2 * allocations);
+    CHECK(fixture.attempt_count() == 2 * allocations);
 }
 
 // Operators' tools read these names.
--- a/tests/proxy/planned_stop_test.cpp
+++ b/tests/proxy/planned_stop_test.cpp
@@ -25,7 +25,7 @@
         for (int count = 0; !over(); ++count) {
             std::this_thread::sleep_for(std::chrono::duration<double>(pause(pauses)));
             const std::string key = name + "x" + std::to_string(count);
-            const std::string answer = connection.ask(asks("read", key, "128m"));
+            const std::string answer = connection.request(make_request("read", key, "128m"));
             if (answer.empty()) {
                 unanswered = "9b" + key;
                 return;
@@ -36,7 +36,7 @@
         }
     }
 
-    toy_client connection;
+    test_client connection;
     std::string name;
     std::minstd_rand pauses;
     int answered = 0;
@@ -46,7 +46,7 @@
 // How many requests the process had read, as a server saw them, and never answered. `before_stop`: what
 // happens to the process just before the signal.
 int lost_at_earliest_kill(
-    int longest_deadline_ms, stand &with, running &process,
+    int longest_deadline_ms, proxy_fixture &fixture, proxy_process &process,
     const std::function<void()> &before_stop = [] {}) {
     std::list<steady_client> clients;
     std::list<std::thread> threads;
@@ -55,11 +55,11 @@
         auto &client = clients.emplace_back(process.port, i + 1);
         threads.emplace_back([&] { client.run([&] { return over.load(); }); });
     }
-    with.servers[0].wait_for_any(with.servers[1], std::size_t{4} * clients_at_once);
+    fixture.servers[0].wait_for_total_requests(fixture.servers[1], std::size_t{4} * clients_at_once);
     before_stop();
-    process.proxy.signal(SIGTERM);
+    process.process.signal(SIGTERM);
     std::this_thread::sleep_for(std::chrono::duration<double>(longest_deadline_ms * 1e-3 + kill_delay));
-    process.proxy.signal(SIGKILL);
+    process.process.signal(SIGKILL);
     over = true;
     for (auto &each : threads)
         each.join();
@@ -67,9 +67,10 @@
     for (const auto &each : clients) {
         CHECK(each.answered > 0);
         const std::string id = field + each.unanswered;
-        lost += !each.unanswered.empty() && (with.servers[0].saw(id) || with.servers[1].saw(id));
+        lost += !each.unanswered.empty() &&
+                (fixture.servers[0].has_received(id) || fixture.servers[1].has_received(id));
     }
-    CHECK(process.proxy.status() == 0); // it had ended by itself
+    CHECK(process.process.wait_for_exit() == 0); // it had ended by itself
     return lost;
 }
 
@@ -81,9 +82,10 @@
     for (const int longest_deadline_ms : {150, 270, 345, 1000})
         for (int round = 0; round < 3; ++round) {
             CAPTURE(longest_deadline_ms);
-            stand with({.statement_ms = longest_deadline_ms, .starts = false, .work_ms = 60});
-            running process(with, "planned-stop.json");
-            CHECK(lost_at_earliest_kill(longest_deadline_ms, with, process) == 0);
+            proxy_fixture fixture(
+                {.request_timeout_ms = longest_deadline_ms, .start_proxy = false, .response_delay_ms = 60});
+            proxy_process process(fixture, "planned-stop.json");
+            CHECK(lost_at_earliest_kill(longest_deadline_ms, fixture, process) == 0);
         }
 }
 
@@ -91,41 +93,41 @@
 // comes.
 TEST_CASE("planned stop: shorter deadlines wait for their list") {
     constexpr int shorter_ms = 150;
-    stand with({.statement_ms = 1000, .starts = false, .work_ms = 60});
-    running process(with, "planned-stop-reload.json");
+    proxy_fixture fixture({.request_timeout_ms = 1000, .start_proxy = false, .response_delay_ms = 60});
+    proxy_process process(fixture, "planned-stop-reload.json");
     const auto reload = [&] {
-        with.silent = true;
-        std::string text = with.config;
+        fixture.discovery_silent = true;
+        std::string text = fixture.config;
         for (std::size_t at; (at = text.find("\"statementTimeoutMs\":1000")) != std::string::npos;)
             text.replace(at, 25, "\"statementTimeoutMs\":" + std::to_string(shorter_ms));
         process.reload(text);
-        process.proxy.wait_for("reloaded ");
+        process.process.wait_for_output("reloaded ");
     };
-    CHECK(lost_at_earliest_kill(shorter_ms, with, process, reload) == 0);
+    CHECK(lost_at_earliest_kill(shorter_ms, fixture, process, reload) == 0);
 }
 
 // Guards a client that writes slowly: its request is not whole when the stop leaves no more time for it.
 TEST_CASE("planned stop: half a request is refused before the kill") {
-    stand with({.statement_ms = 150, .starts = false});
-    running process(with, "planned-stop-half.json");
-    toy_client client(process.port);
-    const std::string whole = asks("book", "1", "100m");
+    proxy_fixture fixture({.request_timeout_ms = 150, .start_proxy = false});
+    proxy_process process(fixture, "planned-stop-half.json");
+    test_client client(process.port);
+    const std::string whole = make_request("book", "1", "100m");
     client.send(whole.substr(0, whole.size() - 2));
-    process.proxy.signal(SIGTERM);
+    process.process.signal(SIGTERM);
     CHECK(client.read().starts_with("HTTP/1.1 503"));
-    CHECK(client.ended());
-    CHECK(process.proxy.status() == 0);
-    CHECK(with.executions() == 0);
+    CHECK(client.wait_for_close());
+    CHECK(process.process.wait_for_exit() == 0);
+    CHECK(fixture.attempt_count() == 0);
 }
 
 // Guards clients that the front still sends here, however short the deadlines are.
 TEST_CASE("planned stop: new connections are taken for as long as the front deals them out") {
-    stand with({.statement_ms = 40, .starts = false});
-    running process(with, "planned-stop-front.json");
-    process.proxy.signal(SIGTERM);
+    proxy_fixture fixture({.request_timeout_ms = 40, .start_proxy = false});
+    proxy_process process(fixture, "planned-stop-front.json");
+    process.process.signal(SIGTERM);
     std::this_thread::sleep_for(std::chrono::milliseconds(400)); // the front's longest
-    CHECK(toy_client(process.port).ask("GET /_health HTTP/1.1\r\n\r\n").starts_with("HTTP/1.1 503"));
-    CHECK(process.proxy.status() == 0);
+    CHECK(test_client(process.port).request("GET /_health HTTP/1.1\r\n\r\n").starts_with("HTTP/1.1 503"));
+    CHECK(process.process.wait_for_exit() == 0);
 }
 
 // The order of a stop's moments, and the margins between them, for every longest deadline.
--- a/tests/proxy/proxy_test.cpp
+++ b/tests/proxy/proxy_test.cpp
@@ -153,7 +153,7 @@
 // A request has its effect at most once, by what each outcome proves; a response is forwarded as it came.
 TEST_CASE("what is answered after each outcome of a first execution") {
     const std::vector<std::pair<std::string, std::string>> outcomes = {
-        {"completed", ok("value", "X-Cache: miss\r\n")},
+        {"completed", ok_response("value", "X-Cache: miss\r\n")},
         {"chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nval\r\n2\r\nue\r\n0\r\n\r\n"},
         {"turned away", "HTTP/1.1 503 Busy\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"},
         {"over there", "HTTP/1.1 504 Late\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"},
@@ -171,15 +171,15 @@
         {"3 GB", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nvalue"},
         {"half", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nval"},
         {"no length", "HTTP/1.1 200 OK\r\n\r\nvalue"},
-        {"more behind", ok("value") + ok("value")},
-        {"interim", "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + ok("value")}};
+        {"more behind", ok_response("value") + ok_response("value")},
+        {"interim", "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + ok_response("value")}};
     std::ostringstream trace;
     for (const auto &[name, first] : outcomes) {
         for (const std::string use : {"read", "book", "bill"}) {
-            stand with({.replies = {first}});
-            toy_client client(with.port);
-            const std::string answer = told(client.ask(asks(use, "1")));
-            trace << use << ", " << name << ": " << answer << " after " << with.executions() << '\n';
+            proxy_fixture fixture({.responses = {first}});
+            test_client client(fixture.port);
+            const std::string answer = status_and_body(client.request(make_request(use, "1")));
+            trace << use << ", " << name << ": " << answer << " after " << fixture.attempt_count() << '\n';
         }
     }
     CHECK(trace.str() == test::read_file(std::string(HARRIERPASS_TRACES) + "/proxy_outcomes.txt"));
@@ -192,39 +192,41 @@
     for (int i = 0; i < 30; ++i) {
         replies.emplace_back(i % 2 == 0 ? "HTTP/1.1 2x0 OK\r\n\r\n"
                                         : "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n");
-        replies.insert(replies.end(), 10, ok("value"));
+        replies.insert(replies.end(), 10, ok_response("value"));
     }
-    stand with({.replies = replies});
-    toy_client client(with.port);
+    proxy_fixture fixture({.responses = replies});
+    test_client client(fixture.port);
     for (int i = 0; i < 60; ++i)
-        CHECK(told(client.ask(asks("read", std::to_string(i)))) == "HTTP/1.1 200 [value]");
-    const auto &counted = with.proxy->counts();
+        CHECK(status_and_body(client.request(make_request("read", std::to_string(i)))) ==
+              "HTTP/1.1 200 [value]");
+    const auto &counted = fixture.proxy->counts();
     CHECK(counted.of(counter::attempts_malformed) > 4);
     CHECK(counted.of(counter::attempts_malformed) == counted.of(counter::attempts_error));
     CHECK(counted.of(counter::health_checks) == 0);
-    with.proxy->end(0);
-    CHECK(with.lines.str().find("reason=suspect") == std::string::npos);
-    CHECK(with.lines.str().find("reason=spoilt") != std::string::npos);
+    fixture.proxy->end(0);
+    CHECK(fixture.log_output.str().find("reason=suspect") == std::string::npos);
+    CHECK(fixture.log_output.str().find("reason=spoilt") != std::string::npos);
 }
 
 // In deployments whose endpoints do not fetch what they lack; here the second server is the origin.
 TEST_CASE("a miss goes to the origin") {
-    stand with({.replies = {"HTTP/1.1 404 None\r\nX-Cache: miss\r\nContent-Length: 0\r\n\r\n"},
-                .family = R"({"mode":"aside","originKind":1})"});
-    toy_client client(with.port);
-    CHECK(told(client.ask(asks("read", "1"))) == "HTTP/1.1 200 [value]");
-    CHECK(with.servers[0].count() == 1);
-    CHECK(with.servers[1].count() == 1);
-    CHECK(told(client.ask(asks("bill", "1"))) == "HTTP/1.1 200 [value]"); // a write
-    CHECK(with.servers[1].count() == 2);
-    CHECK(with.proxy->counts().of(counter::attempts_cache_miss) == 1);
+    proxy_fixture fixture({.responses = {"HTTP/1.1 404 None\r\nX-Cache: miss\r\nContent-Length: 0\r\n\r\n"},
+                           .origin_settings = R"({"mode":"aside","originKind":1})"});
+    test_client client(fixture.port);
+    CHECK(status_and_body(client.request(make_request("read", "1"))) == "HTTP/1.1 200 [value]");
+    CHECK(fixture.servers[0].request_count() == 1);
+    CHECK(fixture.servers[1].request_count() == 1);
+    CHECK(status_and_body(client.request(make_request("bill", "1"))) == "HTTP/1.1 200 [value]"); // a write
+    CHECK(fixture.servers[1].request_count() == 2);
+    CHECK(fixture.proxy->counts().of(counter::attempts_cache_miss) == 1);
 }
 
 TEST_CASE("what a server is sent") {
-    stand with;
-    toy_client client(with.port);
-    CHECK(told(client.ask(asks("book", "7"))) == "HTTP/1.1 200 [value]");
-    const std::string sent = with.servers[0].count() > 0 ? with.servers[0].last() : with.servers[1].last();
+    proxy_fixture fixture;
+    test_client client(fixture.port);
+    CHECK(status_and_body(client.request(make_request("book", "7"))) == "HTTP/1.1 200 [value]");
+    const std::string sent = fixture.servers[0].request_count() > 0 ? fixture.servers[0].last_request()
+                                                                    : fixture.servers[1].last_request();
     CHECK(sent.starts_with("PUT /book/7 HTTP/1.1\r\n"));
     CHECK(sent.find("\r\nX-Request-Id: 9b7\r\n") != std::string::npos);
     CHECK(sent.find("\r\nIdempotency-Key: k7\r\n") != std::string::npos);
@@ -233,13 +235,15 @@
     CHECK(deadline != std::string::npos);
     CHECK(sent.find("\r\nX-Deadline: ", deadline + 1) == std::string::npos);
     for (int i = 0; i < 5; ++i) // on kept connections
-        CHECK(told(client.ask(asks("read", "7"))) == "HTTP/1.1 200 [value]");
-    CHECK(with.servers[0].connections() + with.servers[1].connections() <= 2);
+        CHECK(status_and_body(client.request(make_request("read", "7"))) == "HTTP/1.1 200 [value]");
+    CHECK(fixture.servers[0].connection_count() + fixture.servers[1].connection_count() <= 2);
 }
 
 TEST_CASE("requests that are no queries") {
-    stand with;
-    const auto status = [&](const std::string &text) { return toy_client(with.port).ask(text).substr(9, 3); };
+    proxy_fixture fixture;
+    const auto status = [&](const std::string &text) {
+        return test_client(fixture.port).request(text).substr(9, 3);
+    };
     CHECK(status("hello\r\n\r\n") == "400");
     CHECK(status("GET /unknown/1 HTTP/1.1\r\n\r\n") == "400");
     const std::string id = "X-Request-Id: 1\r\n";
@@ -254,9 +258,9 @@
                  "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n") == "400");
     CHECK(status("DELETE /read/1 HTTP/1.1\r\n\r\n") == "405");
     CHECK(status("PUT /book/1 HTTP/1.1\r\nContent-Length: 100000000\r\n\r\n") == "413");
-    CHECK(with.executions() == 0);
+    CHECK(fixture.attempt_count() == 0);
     // Hundreds at once: each is told, until the connection ends.
-    toy_client many(with.port);
+    test_client many(fixture.port);
     std::string all;
     for (int i = 0; i < 300; ++i)
         all += "GET /read/1 HTTP/1.1\r\n\r\n";
@@ -264,112 +268,118 @@
     std::string told_all;
     for (std::string part; !(part = many.read()).empty();)
         told_all += part;
-    CHECK(test::count_of(told_all, "HTTP/1.1 400") == 16);
+    CHECK(test::count_occurrences(told_all, "HTTP/1.1 400") == 16);
     CHECK(told_all.find("Connection: close") != std::string::npos);
     // Two at once from a client that does not wait: answered in order.
-    toy_client client(with.port);
-    client.send(asks("read", "1") + "GET /_health HTTP/1.1\r\n\r\n");
+    test_client client(fixture.port);
+    client.send(make_request("read", "1") + "GET /_health HTTP/1.1\r\n\r\n");
     const std::string both = client.read();
     CHECK(both.starts_with("HTTP/1.1 200 OK\r\nContent-Length: 5"));
     CHECK((both.size() > 60 || client.read().starts_with("HTTP/1.1 200")));
-    with.proxy->end(0);
-    CHECK(with.lines.str().find(" queries=1 open=") != std::string::npos);
-    CHECK(with.lines.str().find(" reason=bad_request") != std::string::npos);
+    fixture.proxy->end(0);
+    CHECK(fixture.log_output.str().find(" queries=1 open=") != std::string::npos);
+    CHECK(fixture.log_output.str().find(" reason=bad_request") != std::string::npos);
 }
 
 // A request with the id of an open one has no effect and does not disturb the first one.
 TEST_CASE("an id that is open") {
-    stand with({.replies = {"hold"}});
-    toy_client first(with.port), second(with.port);
-    first.send(asks("bill", "1"));
-    with.wait_for_execution();
-    CHECK(second.ask(asks("bill", "1")).starts_with("HTTP/1.1 409"));
-    for (auto &server : with.servers)
-        server.push(ok("value"));
-    CHECK(told(first.read()) == "HTTP/1.1 200 [value]");
-    CHECK(with.executions() == 1);
-    CHECK(told(second.ask(asks("bill", "1"))) == "HTTP/1.1 200 [value]"); // it is free again
+    proxy_fixture fixture({.responses = {"hold"}});
+    test_client first(fixture.port), second(fixture.port);
+    first.send(make_request("bill", "1"));
+    fixture.wait_for_attempt();
+    CHECK(second.request(make_request("bill", "1")).starts_with("HTTP/1.1 409"));
+    for (auto &server : fixture.servers)
+        server.push_response(ok_response("value"));
+    CHECK(status_and_body(first.read()) == "HTTP/1.1 200 [value]");
+    CHECK(fixture.attempt_count() == 1);
+    CHECK(status_and_body(second.request(make_request("bill", "1"))) ==
+          "HTTP/1.1 200 [value]"); // it is free again
 }
 
 // Clients that send nothing, stop half way, or never close get an error or a closed connection within 3 s. No
 // connection closes over a request that has come.
 TEST_CASE("clients that are silent or slow") {
-    stand with({.sockets = 85}); // 16 clients; half of them and more leave little room
-    stand roomy;
-    toy_client silent(with.port), half(with.port), busy(with.port), stays(roomy.port);
-    CHECK(told(stays.ask(asks("read", "1"))) == "HTTP/1.1 200 [value]");
-    std::list<toy_client> once;
+    proxy_fixture fixture({.socket_limit = 85}); // 16 clients; half of them and more leave little room
+    proxy_fixture roomy;
+    test_client silent(fixture.port), half(fixture.port), busy(fixture.port), stays(roomy.port);
+    CHECK(status_and_body(stays.request(make_request("read", "1"))) == "HTTP/1.1 200 [value]");
+    std::list<test_client> once;
     const auto from = std::chrono::steady_clock::now();
     half.send("PUT /book/1 HTTP/1.1\r\nContent-Length: 4\r\n\r\nbo");
     for (int i = 0; i < 10; ++i)
-        CHECK(told(once.emplace_back(with.port).ask(asks("read", "1"))) == "HTTP/1.1 200 [value]");
+        CHECK(status_and_body(once.emplace_back(fixture.port).request(make_request("read", "1"))) ==
+              "HTTP/1.1 200 [value]");
     for (int i = 0; i < 2; ++i)
-        CHECK(told(busy.ask(asks("read", "2"))) == "HTTP/1.1 200 [value]");
-    toy_client huge(with.port);
-    CHECK(huge.ask("PUT /book/1 HTTP/1.1\r\nContent-Length: 600000000\r\n\r\n").starts_with("HTTP/1.1 413"));
-    CHECK(silent.ended());
+        CHECK(status_and_body(busy.request(make_request("read", "2"))) == "HTTP/1.1 200 [value]");
+    test_client huge(fixture.port);
+    CHECK(huge.request("PUT /book/1 HTTP/1.1\r\nContent-Length: 600000000\r\n\r\n")
+              .starts_with("HTTP/1.1 413"));
+    CHECK(silent.wait_for_close());
     CHECK(half.read().starts_with("HTTP/1.1 408"));
     // Any of them: they end until there is room, and which goes first is a matter of threads.
-    while (std::none_of(once.begin(), once.end(), [](auto &each) { return each.ended_now(); }))
+    while (std::none_of(once.begin(), once.end(), [](auto &each) { return each.is_closed(); }))
         std::this_thread::yield();
-    CHECK(!stays.ended_now()); // where there is room
+    CHECK(!stays.is_closed()); // where there is room
     CHECK(std::chrono::steady_clock::now() - from < std::chrono::milliseconds(2900));
-    CHECK(told(busy.ask(asks("read", "2"))) == "HTTP/1.1 200 [value]");
-    with.proxy->end(0);
+    CHECK(status_and_body(busy.request(make_request("read", "2"))) == "HTTP/1.1 200 [value]");
+    fixture.proxy->end(0);
     for (const char *reason : {"silent", "idle", "client_slow"})
-        CHECK(with.lines.str().find(std::string(" reason=") + reason) != std::string::npos);
+        CHECK(fixture.log_output.str().find(std::string(" reason=") + reason) != std::string::npos);
 }
 
 // Memory stays bounded where endpoints come under ever new ids, also at the address of a removed one.
 TEST_CASE("servers that are replaced") {
-    stand with;
-    toy_client client(with.port);
+    proxy_fixture fixture;
+    test_client client(fixture.port);
     const auto entry = [&](const std::string &id, std::size_t at, const char *phase) {
-        auto list = with.list(phase, false);
+        auto list = fixture.endpoint_list_json(phase, false);
         list.replace(list.find("\"s0\""), 4, "\"" + id + "\"");
-        list.replace(list.find(with.servers[0].at()), with.servers[0].at().size(), with.servers[at].at());
+        list.replace(list.find(fixture.servers[0].address()), fixture.servers[0].address().size(),
+                     fixture.servers[at].address());
         return list.substr(list.find("[{") + 1, list.rfind("}]") - list.find("[{"));
     };
     std::string before = "s0";
     for (int i = 0; i < 20; ++i) {
         const std::string next = "n" + std::to_string(i);
-        const std::size_t told_before = with.discovery.count();
-        with.discovery.push(ok(R"({"revision":50,"complete":false,"members":[)" + entry(before, 0, "left") +
-                               "," + entry(next, 0, "active") + "]}"));
-        with.discovery.wait_for(told_before + 1);
+        const std::size_t told_before = fixture.discovery.request_count();
+        fixture.discovery.push_response(ok_response(R"({"revision":50,"complete":false,"members":[)" +
+                                                    entry(before, 0, "left") + "," +
+                                                    entry(next, 0, "active") + "]}"));
+        fixture.discovery.wait_for_requests(told_before + 1);
         for (int key = 0; key < 4; ++key)
-            CHECK(told(client.ask(asks("read", std::to_string(key)))) == "HTTP/1.1 200 [value]");
+            CHECK(status_and_body(client.request(make_request("read", std::to_string(key)))) ==
+                  "HTTP/1.1 200 [value]");
         before = next;
     }
-    CHECK(with.proxy->endpoint_slots() <= 4);
-    CHECK(with.servers[0].count() > 20);
-    with.proxy->end(0);
-    CHECK(with.lines.str().find("server=n5 executions=") != std::string::npos);
-    CHECK(with.lines.str().find(" reason=gone") != std::string::npos);
+    CHECK(fixture.proxy->endpoint_slots() <= 4);
+    CHECK(fixture.servers[0].request_count() > 20);
+    fixture.proxy->end(0);
+    CHECK(fixture.log_output.str().find("server=n5 executions=") != std::string::npos);
+    CHECK(fixture.log_output.str().find(" reason=gone") != std::string::npos);
 }
 
 // A blocked thread is woken by a decision: the endpoint falls silent, the router cancels the attempt, and the
 // other endpoint gets the request well before the client's deadline.
 TEST_CASE("a silent server's query is called off and sent elsewhere") {
-    stand with({.replies = {"hold"}});
-    toy_client client(with.port);
+    proxy_fixture fixture({.responses = {"hold"}});
+    test_client client(fixture.port);
     const auto from = std::chrono::steady_clock::now();
-    CHECK(told(client.ask(asks("read", "1"))) == "HTTP/1.1 200 [value]");
+    CHECK(status_and_body(client.request(make_request("read", "1"))) == "HTTP/1.1 200 [value]");
     CHECK(std::chrono::steady_clock::now() - from < std::chrono::milliseconds(2000));
-    CHECK(with.proxy->counts().of(counter::attempts_canceled) == 1);
+    CHECK(fixture.proxy->counts().of(counter::attempts_canceled) == 1);
     // Then it is probed, answers, and has its key back.
-    while (with.proxy->counts().of(counter::health_checks_answered) == 0)
+    while (fixture.proxy->counts().of(counter::health_checks_answered) == 0)
         std::this_thread::yield();
-    auto &silent = with.servers[with.servers[0].last().starts_with("GET /ping") ? 0 : 1];
-    while (!silent.last().starts_with("GET /read/1"))
-        CHECK(told(client.ask(asks("read", "1"))) == "HTTP/1.1 200 [value]");
+    auto &silent = fixture.servers[fixture.servers[0].last_request().starts_with("GET /ping") ? 0 : 1];
+    while (!silent.last_request().starts_with("GET /read/1"))
+        CHECK(status_and_body(client.request(make_request("read", "1"))) == "HTTP/1.1 200 [value]");
 }
 
 TEST_CASE("the final answer comes before the client's end, and says whether to come back") {
-    stand with({.replies = {"hold", "hold"}});
-    toy_client one(with.port), two(with.port);
-    one.send(asks("read", "1", "300m"));
-    two.send(asks("bill", "2", "300m"));
+    proxy_fixture fixture({.responses = {"hold", "hold"}});
+    test_client one(fixture.port), two(fixture.port);
+    one.send(make_request("read", "1", "300m"));
+    two.send(make_request("bill", "2", "300m"));
     const std::string rejected = one.read(), aborted = two.read();
     CHECK(rejected.starts_with("HTTP/1.1 503"));
     CHECK(rejected.find("\r\nRetry-After: 1.500\r\n") != std::string::npos);
@@ -380,30 +390,30 @@
 // Sixteen attempts are in flight, as many as the router allows at two endpoints it does not know. What comes
 // then is queued: it keeps its place, and its client may leave.
 TEST_CASE("held queries") {
-    stand with({.replies = std::vector<std::string>(40, "hold")});
-    const auto &counted = with.proxy->counts();
-    std::list<toy_client> clients;
+    proxy_fixture fixture({.responses = std::vector<std::string>(40, "hold")});
+    const auto &counted = fixture.proxy->counts();
+    std::list<test_client> clients;
     for (std::size_t total = 1; total <= 17; ++total) {
-        clients.emplace_back(with.port).send(asks("audit", std::to_string(total)));
+        clients.emplace_back(fixture.port).send(make_request("audit", std::to_string(total)));
         while (counted.of(counter::requests) < total)
             std::this_thread::yield();
     }
-    while (with.executions() < 16)
+    while (fixture.attempt_count() < 16)
         std::this_thread::yield();
-    CHECK(with.executions() == 16);
-    with.servers[0].push(ok("first")); // makes a place for the one that is held
-    while (with.executions() < 17)
+    CHECK(fixture.attempt_count() == 16);
+    fixture.servers[0].push_response(ok_response("first")); // makes a place for the one that is held
+    while (fixture.attempt_count() < 17)
         std::this_thread::yield();
-    clients.emplace_back(with.port).send(asks("audit", "18"));
+    clients.emplace_back(fixture.port).send(make_request("audit", "18"));
     while (counted.of(counter::requests) < 18)
         std::this_thread::yield();
     clients.pop_back();
     while (counted.of(counter::client_disconnects) == 0)
         std::this_thread::yield();
-    CHECK(with.executions() == 17);
+    CHECK(fixture.attempt_count() == 17);
     for (int i = 0; i < 20; ++i)
-        for (auto &server : with.servers)
-            server.push(ok("late"));
+        for (auto &server : fixture.servers)
+            server.push_response(ok_response("late"));
     for (auto &client : clients)
         CHECK(client.read().starts_with("HTTP/1.1 200"));
 }
@@ -411,46 +421,46 @@
 // On a platform where no signal ends a wait, a queued request still sees its decision, and an idle connection
 // the planned stop.
 TEST_CASE("calls among threads that are lost") {
-    stand with({.replies = std::vector<std::string>(40, "hold")});
+    proxy_fixture fixture({.responses = std::vector<std::string>(40, "hold")});
     struct sigaction none {
     }, before{};
     none.sa_handler = SIG_IGN;
     sigaction(SIGUSR2, &none, &before);
-    std::list<toy_client> clients;
+    std::list<test_client> clients;
     for (std::size_t total = 1; total <= 17; ++total) {
-        clients.emplace_back(with.port).send(asks("audit", std::to_string(total)));
-        while (with.proxy->counts().of(counter::requests) < total)
+        clients.emplace_back(fixture.port).send(make_request("audit", std::to_string(total)));
+        while (fixture.proxy->counts().of(counter::requests) < total)
             std::this_thread::yield();
     }
-    while (with.executions() < 16)
+    while (fixture.attempt_count() < 16)
         std::this_thread::yield();
     for (int i = 0; i < 20; ++i)
-        for (auto &server : with.servers)
-            server.push(ok("late"));
+        for (auto &server : fixture.servers)
+            server.push_response(ok_response("late"));
     for (auto &client : clients)
         CHECK(client.read().starts_with("HTTP/1.1 200"));
     const double ends = steady_now();
-    with.proxy->end(0);
+    fixture.proxy->end(0);
     CHECK(steady_now() - ends < 1.5); // they rest for 2.2 s else
     sigaction(SIGUSR2, &before, nullptr);
 }
 
 // A pool of connections to one server, which is endpoint 0.
 struct pool_fixture {
-    pool_fixture() { servers.set_endpoint(0_endpoint, "s0", server.at(), 0, 0); }
+    pool_fixture() { servers.set_endpoint(0_endpoint, "s0", server.address(), 0, 0); }
 
-    toy_server server{[](const std::string &) { return ok("value"); }};
-    std::ostringstream lines;
+    test_server server{[](const std::string &) { return ok_response("value"); }};
+    std::ostringstream log_output;
     counters counted;
-    log to{lines, log_level::info};
+    log to{log_output, log_level::info};
     upstream_pool servers{0.25, 5, 6, counted, to};
 };
 
 // Idle connections to endpoints have the descriptors that clients leave, and no more.
 TEST_CASE("servers' connections have what clients leave") {
-    pool_fixture with;
-    upstream_pool &servers = with.servers;
-    servers.set_endpoint(1_endpoint, "s1", with.server.at(), 0, 0);
+    pool_fixture fixture;
+    upstream_pool &servers = fixture.servers;
+    servers.set_endpoint(1_endpoint, "s1", fixture.server.address(), 0, 0);
     std::list<upstream_connection> in_use;
     for (index i = 0; i < 4; ++i)
         in_use.push_back(servers.acquire(0_endpoint, 1));
@@ -459,19 +469,19 @@
     servers.reserve_for_clients(1, 1);
     auto other = servers.acquire(1_endpoint, 1); // the sixth descriptor
     CHECK(other.socket);
-    CHECK(with.lines.str().empty());
+    CHECK(fixture.log_output.str().empty());
     servers.reserve_for_clients(2, 1);
-    CHECK(with.lines.str().find("server=s0 executions=0 open=0 rested=0 reason=reclaimed") !=
+    CHECK(fixture.log_output.str().find("server=s0 executions=0 open=0 rested=0 reason=reclaimed") !=
           std::string::npos);
     CHECK(servers.acquire(0_endpoint, 1).socket); // a kept one
-    CHECK(with.counted.of(counter::upstream_connects) == 5);
+    CHECK(fixture.counted.of(counter::upstream_connects) == 5);
 }
 
 // An endpoint may close its connections right after a response: those that have been idle longer are used
 // first.
 TEST_CASE("a server's connection rests before its next use") {
-    pool_fixture with;
-    upstream_pool &servers = with.servers;
+    pool_fixture fixture;
+    upstream_pool &servers = fixture.servers;
     auto first = servers.acquire(0_endpoint, 1), second = servers.acquire(0_endpoint, 1);
     const int older = first.socket.get(), latest = second.socket.get();
     servers.release(std::move(first), 1);
@@ -481,121 +491,125 @@
     servers.release(std::move(used), 1.102);
     CHECK(servers.acquire(0_endpoint, 1.2).socket.get() == older); // both have rested: the latest
     CHECK(servers.acquire(0_endpoint, 1.2).socket.get() == latest);
-    CHECK(with.counted.of(counter::upstream_connects) == 2);
+    CHECK(fixture.counted.of(counter::upstream_connects) == 2);
 }
 
 // Other requests' connections stay open: where a process died they show it themselves.
 TEST_CASE("a reset ends its own connection only") {
-    stand with({.replies = {"hold"}});
-    toy_client out(with.port), other(with.port);
-    out.send(asks("read", "1"));
-    with.wait_for_execution();
-    std::string next = asks("read", "1");
+    proxy_fixture fixture({.responses = {"hold"}});
+    test_client out(fixture.port), other(fixture.port);
+    out.send(make_request("read", "1"));
+    fixture.wait_for_attempt();
+    std::string next = make_request("read", "1");
     next.replace(next.find("9b1"), 3, "9b2");
-    CHECK(told(other.ask(next)) == "HTTP/1.1 200 [value]"); // on a second connection, to the same server
-    for (auto &server : with.servers)
-        server.push("reset");
-    CHECK(told(out.read()) == "HTTP/1.1 200 [value]");
-    with.proxy->end(0);
-    CHECK(with.lines.str().find("side=server server=s") != std::string::npos);
-    CHECK(with.lines.str().find(" reason=reset") != std::string::npos);
-    CHECK(with.lines.str().find(" reason=suspect") == std::string::npos);
+    CHECK(status_and_body(other.request(next)) ==
+          "HTTP/1.1 200 [value]"); // on a second connection, to the same server
+    for (auto &server : fixture.servers)
+        server.push_response("reset");
+    CHECK(status_and_body(out.read()) == "HTTP/1.1 200 [value]");
+    fixture.proxy->end(0);
+    CHECK(fixture.log_output.str().find("side=server server=s") != std::string::npos);
+    CHECK(fixture.log_output.str().find(" reason=reset") != std::string::npos);
+    CHECK(fixture.log_output.str().find(" reason=suspect") == std::string::npos);
 }
 
 // Beyond the limits on sockets and memory a client is rejected at once, before anything was executed.
 TEST_CASE("more clients than there is room for") {
-    stand with({.replies = std::vector<std::string>(40, "hold"), .sockets = 85}); // 16 clients
-    std::list<toy_client> clients;
+    proxy_fixture fixture(
+        {.responses = std::vector<std::string>(40, "hold"), .socket_limit = 85}); // 16 clients
+    std::list<test_client> clients;
     for (std::size_t total = 1; total <= 16; ++total) {
-        clients.emplace_back(with.port).send(asks("audit", std::to_string(total)));
-        while (with.executions() < total)
+        clients.emplace_back(fixture.port).send(make_request("audit", std::to_string(total)));
+        while (fixture.attempt_count() < total)
             std::this_thread::yield();
     }
-    const std::string refused = toy_client(with.port).ask(asks("bill", "99"));
+    const std::string refused = test_client(fixture.port).request(make_request("bill", "99"));
     CHECK(refused.starts_with("HTTP/1.1 503"));
     CHECK(refused.find("\r\nRetry-After: 1.500\r\n") != std::string::npos);
-    CHECK(with.proxy->counts().of(counter::rejected_too_many_connections) == 1);
-    CHECK(with.executions() == 16);
+    CHECK(fixture.proxy->counts().of(counter::rejected_too_many_connections) == 1);
+    CHECK(fixture.attempt_count() == 16);
     for (int i = 0; i < 20; ++i)
-        for (auto &server : with.servers)
-            server.push(ok("late"));
+        for (auto &server : fixture.servers)
+            server.push_response(ok_response("late"));
     for (auto &client : clients)
-        CHECK(told(client.read()) == "HTTP/1.1 200 [late]");
+        CHECK(status_and_body(client.read()) == "HTTP/1.1 200 [late]");
 }
 
 // At the limit on sockets an idle connection makes room.
 TEST_CASE("resting clients are ended at the limit") {
-    stand with({.sockets = 256}); // 118 clients; from 76 on, well below a third of the sockets, room is made
-    std::list<toy_client> resting;
+    proxy_fixture fixture(
+        {.socket_limit = 256}); // 118 clients; from 76 on, well below a third of the sockets, room is made
+    std::list<test_client> resting;
     for (int i = 0; i < 80; ++i)
-        resting.emplace_back(with.port);
-    while (!resting.front().ended_now())
-        toy_client(with.port).ask("GET /_health HTTP/1.1\r\n\r\n");
-    with.proxy->end(0);
-    CHECK(with.lines.str().find(" queries=0 open=") != std::string::npos);
-    CHECK(with.lines.str().find(" reason=reclaimed") != std::string::npos);
+        resting.emplace_back(fixture.port);
+    while (!resting.front().is_closed())
+        test_client(fixture.port).request("GET /_health HTTP/1.1\r\n\r\n");
+    fixture.proxy->end(0);
+    CHECK(fixture.log_output.str().find(" queries=0 open=") != std::string::npos);
+    CHECK(fixture.log_output.str().find(" reason=reclaimed") != std::string::npos);
 }
 
 TEST_CASE("a query in many parts, and one that never comes whole") {
-    stand with;
-    toy_client slow(with.port);
-    for (const char one : asks("read", "1")) {
+    proxy_fixture fixture;
+    test_client slow(fixture.port);
+    for (const char one : make_request("read", "1")) {
         slow.send(std::string(1, one));
         std::this_thread::yield();
     }
-    CHECK(told(slow.read()) == "HTTP/1.1 200 [value]");
+    CHECK(status_and_body(slow.read()) == "HTTP/1.1 200 [value]");
     slow.send("PUT /book/1 HTTP/1.1\r\nX-Request-Id: 1\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n");
     CHECK(slow.read() == "HTTP/1.1 100 Continue\r\n\r\n");
-    CHECK(told(slow.ask("body")) == "HTTP/1.1 200 [value]");
-    toy_client(with.port).send("GET /read/1 HT");
-    while (with.proxy->counts().of(counter::client_connections_closed) <
-           with.proxy->counts().of(counter::client_connections_accepted) - 1)
+    CHECK(status_and_body(slow.request("body")) == "HTTP/1.1 200 [value]");
+    test_client(fixture.port).send("GET /read/1 HT");
+    while (fixture.proxy->counts().of(counter::client_connections_closed) <
+           fixture.proxy->counts().of(counter::client_connections_accepted) - 1)
         std::this_thread::yield();
-    with.proxy->end(0);
-    CHECK(with.lines.str().find(" reason=client_cut") != std::string::npos);
+    fixture.proxy->end(0);
+    CHECK(fixture.log_output.str().find(" reason=client_cut") != std::string::npos);
 }
 
 // The router's count of what is in flight at an endpoint stays right: the attempt goes on without its client.
 TEST_CASE("a client that leaves") {
-    stand with({.replies = {"hold"}});
+    proxy_fixture fixture({.responses = {"hold"}});
     {
-        toy_client client(with.port);
-        client.send(asks("read", "1"));
-        with.wait_for_execution();
+        test_client client(fixture.port);
+        client.send(make_request("read", "1"));
+        fixture.wait_for_attempt();
     }
-    while (with.proxy->counts().of(counter::client_disconnects) == 0)
+    while (fixture.proxy->counts().of(counter::client_disconnects) == 0)
         std::this_thread::yield();
-    CHECK(with.proxy->counts().of(counter::attempts_completed) == 0);
-    for (auto &server : with.servers)
-        server.push(ok("late"));
-    while (with.proxy->counts().of(counter::attempts_completed) == 0)
+    CHECK(fixture.proxy->counts().of(counter::attempts_completed) == 0);
+    for (auto &server : fixture.servers)
+        server.push_response(ok_response("late"));
+    while (fixture.proxy->counts().of(counter::attempts_completed) == 0)
         std::this_thread::yield();
-    CHECK(with.proxy->counts().of(counter::completed) == 0);
-    CHECK(told(toy_client(with.port).ask(asks("read", "1"))) == "HTTP/1.1 200 [value]");
+    CHECK(fixture.proxy->counts().of(counter::completed) == 0);
+    CHECK(status_and_body(test_client(fixture.port).request(make_request("read", "1"))) ==
+          "HTTP/1.1 200 [value]");
 }
 
 // Endpoints get no requests that nobody waits for: a connect may take longer than the client stays.
 TEST_CASE("a client that leaves while a connection to its server comes up") {
-    stand with({.dial_ms = 5000});
-    const full_server late;
-    std::string list = with.list("active", true);
-    for (const auto &each : with.servers)
-        list.replace(list.find(each.at()), each.at().size(), late.at());
-    with.discovery.push(ok(list));
-    with.discovery.wait_for(3);
-    auto &count = with.proxy->counts();
+    proxy_fixture fixture({.connect_timeout_ms = 5000});
+    const full_backlog_server late;
+    std::string list = fixture.endpoint_list_json("active", true);
+    for (const auto &each : fixture.servers)
+        list.replace(list.find(each.address()), each.address().size(), late.host_port());
+    fixture.discovery.push_response(ok_response(list));
+    fixture.discovery.wait_for_requests(3);
+    auto &count = fixture.proxy->counts();
     {
-        toy_client client(with.port);
-        client.send(asks("bill", "1"));
+        test_client client(fixture.port);
+        client.send(make_request("bill", "1"));
         while (count.of(counter::upstream_connects) == 0)
             std::this_thread::yield();
     }
-    const tcp_socket came = late.make_room();
+    const tcp_socket came = late.accept_waiting();
     while (count.of(counter::client_disconnects) == 0)
         std::this_thread::yield();
     CHECK(count.of(counter::attempts_sent) == 0);
     std::array<char, 64> bytes{};
-    with.proxy.reset(); // its connections end; a probe may have been written meanwhile, the query never
+    fixture.proxy.reset(); // its connections end; a probe may have been written meanwhile, the query never
     CHECK(::recv(came.get(), bytes.data(), bytes.size(), 0) >= 0);
     CHECK(std::string_view(bytes.data(), bytes.size()).find("/bill/") == std::string_view::npos);
 }
@@ -603,166 +617,179 @@
 // A request must not be written on an idle connection that its endpoint has closed: nobody could tell whether
 // it was executed.
 TEST_CASE("a kept connection that may have ended is not used") {
-    stand with({.replies = {"cut:" + ok("value"), ok("value"), ok("value")}});
-    toy_client client(with.port);
+    proxy_fixture fixture(
+        {.responses = {"cut:" + ok_response("value"), ok_response("value"), ok_response("value")}});
+    test_client client(fixture.port);
     for (std::size_t ended = 0; ended < 3; ++ended) {
-        CHECK(told(client.ask(asks("bill", "1"))) == "HTTP/1.1 200 [value]");
+        CHECK(status_and_body(client.request(make_request("bill", "1"))) == "HTTP/1.1 200 [value]");
         // The first is ended by its server, the others as they are idle near the limit.
-        while (ended == 0 && with.servers[0].open() + with.servers[1].open() > 0)
+        while (ended == 0 &&
+               fixture.servers[0].open_connection_count() + fixture.servers[1].open_connection_count() > 0)
             std::this_thread::yield();
-        while (ended > 0 && with.proxy->counts().of(counter::upstream_connections_stale) <= ended)
+        while (ended > 0 && fixture.proxy->counts().of(counter::upstream_connections_stale) <= ended)
             std::this_thread::yield();
     }
-    CHECK(with.servers[0].connections() + with.servers[1].connections() == 3);
-    CHECK(with.proxy->counts().of(counter::attempts_reset) == 0);
-    CHECK(with.executions() == 3);
+    CHECK(fixture.servers[0].connection_count() + fixture.servers[1].connection_count() == 3);
+    CHECK(fixture.proxy->counts().of(counter::attempts_reset) == 0);
+    CHECK(fixture.attempt_count() == 3);
 }
 
 TEST_CASE("a server that refuses connections") {
-    stand with;
-    auto gone = std::make_unique<toy_server>([](const std::string &) { return ok("never"); });
-    const std::string at = gone->at();
+    proxy_fixture fixture;
+    auto gone = std::make_unique<test_server>([](const std::string &) { return ok_response("never"); });
+    const std::string at = gone->address();
     gone.reset();
-    auto list = with.list("active", false);
-    list.replace(list.find(with.servers[0].at()), with.servers[0].at().size(), at);
-    with.discovery.push(ok(list));
-    with.discovery.wait_for(3); // the next watch: the list has been told
+    auto list = fixture.endpoint_list_json("active", false);
+    list.replace(list.find(fixture.servers[0].address()), fixture.servers[0].address().size(), at);
+    fixture.discovery.push_response(ok_response(list));
+    fixture.discovery.wait_for_requests(3); // the next watch: the list has been told
     for (int key = 0; key < 8; ++key)
-        CHECK(told(toy_client(with.port).ask(asks("bill", std::to_string(key)))) == "HTTP/1.1 200 [value]");
-    CHECK(with.proxy->counts().of(counter::attempts_connect_error) > 0);
-    CHECK(with.servers[0].count() == 0);
-    CHECK(with.servers[1].count() == 8);
-    while (with.proxy->counts().of(counter::health_checks) == 0)
+        CHECK(status_and_body(test_client(fixture.port).request(make_request("bill", std::to_string(key)))) ==
+              "HTTP/1.1 200 [value]");
+    CHECK(fixture.proxy->counts().of(counter::attempts_connect_error) > 0);
+    CHECK(fixture.servers[0].request_count() == 0);
+    CHECK(fixture.servers[1].request_count() == 8);
+    while (fixture.proxy->counts().of(counter::health_checks) == 0)
         std::this_thread::yield();
-    CHECK(with.proxy->counts().of(counter::health_checks_answered) == 0);
+    CHECK(fixture.proxy->counts().of(counter::health_checks_answered) == 0);
 }
 
 // Draining endpoints in the list get no requests; the old list stands while discovery is lost.
 TEST_CASE("the list is followed") {
-    stand with;
-    with.discovery.push(ok(with.list("leaving", false)));
-    with.discovery.wait_for(3);
-    CHECK(with.discovery.last().starts_with("GET /catalog/members?since=42&"));
+    proxy_fixture fixture;
+    fixture.discovery.push_response(ok_response(fixture.endpoint_list_json("leaving", false)));
+    fixture.discovery.wait_for_requests(3);
+    CHECK(fixture.discovery.last_request().starts_with("GET /catalog/members?since=42&"));
     const auto ask_all = [&] {
         for (int key = 0; key < 8; ++key)
-            CHECK(told(toy_client(with.port).ask(asks("read", std::to_string(key)))) ==
+            CHECK(status_and_body(
+                      test_client(fixture.port).request(make_request("read", std::to_string(key)))) ==
                   "HTTP/1.1 200 [value]");
     };
     ask_all();
-    CHECK(with.servers[0].count() == 0);
-    with.discovery.push("cut:HTTP/1.1 500 Down\r\nContent-Length: 0\r\n\r\n");
-    while (with.proxy->counts().of(counter::polls_failed) == 0)
+    CHECK(fixture.servers[0].request_count() == 0);
+    fixture.discovery.push_response("cut:HTTP/1.1 500 Down\r\nContent-Length: 0\r\n\r\n");
+    while (fixture.proxy->counts().of(counter::polls_failed) == 0)
         std::this_thread::yield();
     ask_all();
-    CHECK(with.servers[0].count() == 0);
-    with.discovery.wait_for(4); // asked again, for the whole list, in which the server is back
-    while (with.proxy->counts().of(counter::endpoint_updates) < 3)
+    CHECK(fixture.servers[0].request_count() == 0);
+    fixture.discovery.wait_for_requests(4); // asked again, for the whole list, in which the server is back
+    while (fixture.proxy->counts().of(counter::endpoint_updates) < 3)
         std::this_thread::yield();
     ask_all();
-    CHECK(with.servers[0].count() > 0);
+    CHECK(fixture.servers[0].request_count() > 0);
 }
 
 // A restart while discovery is down works with the known endpoints; discovery is polled again soon, so that
 // draining endpoints are known on its return.
 TEST_CASE("discovery is silent from the start") {
-    stand with({.silent = true});
-    CHECK(told(toy_client(with.port).ask(asks("read", "1"))) == "HTTP/1.1 200 [value]");
-    with.discovery.wait_for(3);
-    CHECK(with.proxy->counts().of(counter::polls_failed) >= 2);
-    const std::size_t before = with.servers[0].count();
-    with.leaving = true;
-    with.silent = false;
-    while (with.discovery.last().find("since=41") == std::string::npos) // the list has been told
+    proxy_fixture fixture({.discovery_silent = true});
+    CHECK(status_and_body(test_client(fixture.port).request(make_request("read", "1"))) ==
+          "HTTP/1.1 200 [value]");
+    fixture.discovery.wait_for_requests(3);
+    CHECK(fixture.proxy->counts().of(counter::polls_failed) >= 2);
+    const std::size_t before = fixture.servers[0].request_count();
+    fixture.first_server_draining = true;
+    fixture.discovery_silent = false;
+    while (fixture.discovery.last_request().find("since=41") == std::string::npos) // the list has been told
         std::this_thread::yield();
     for (int key = 0; key < 8; ++key)
-        CHECK(told(toy_client(with.port).ask(asks("bill", std::to_string(key)))) == "HTTP/1.1 200 [value]");
-    CHECK(with.servers[0].count() == before);
+        CHECK(status_and_body(test_client(fixture.port).request(make_request("bill", std::to_string(key)))) ==
+              "HTTP/1.1 200 [value]");
+    CHECK(fixture.servers[0].request_count() == before);
 }
 
 // A proxy in service keeps its active requests and follows the discovery that the new file names; an unsound
 // file changes nothing.
 TEST_CASE("SIGHUP: discovery is at another address") {
-    stand with({.replies = {"hold"}, .starts = false});
-    toy_server other([&](const std::string &request) {
-        return request.find("since=") != std::string::npos ? "hold" : ok(with.list("leaving", true));
+    proxy_fixture fixture({.responses = {"hold"}, .start_proxy = false});
+    test_server other([&](const std::string &request) {
+        return request.find("since=") != std::string::npos
+                   ? "hold"
+                   : ok_response(fixture.endpoint_list_json("leaving", true));
     });
-    running it(with, "reload_test.json");
-    auto &proxy = it.proxy;
+    proxy_process it(fixture, "reload_test.json");
+    auto &proxy = it.process;
     const int port = it.port;
-    toy_client out(port);
-    out.send(asks("read", "1"));
-    with.wait_for_execution();
+    test_client out(port);
+    out.send(make_request("read", "1"));
+    fixture.wait_for_attempt();
     it.reload(R"({"settings":)");
-    proxy.wait_for("reload-failed ");
-    CHECK(proxy.text().find("reloaded") == std::string::npos);
-    it.reload(std::string(with.config)
-                  .replace(with.config.find(with.discovery.at()), with.discovery.at().size(), other.at()));
-    other.wait_for(2);
-    CHECK(proxy.text().find("side=discovery reason=moved") != std::string::npos);
-    CHECK(with.discovery.connections() == 1);
-    for (auto &server : with.servers)
-        server.push(ok("held"));
-    CHECK(told(out.read()) == "HTTP/1.1 200 [held]");
-    const std::size_t before = with.servers[0].count();
+    proxy.wait_for_output("reload-failed ");
+    CHECK(proxy.output().find("reloaded") == std::string::npos);
+    it.reload(std::string(fixture.config)
+                  .replace(fixture.config.find(fixture.discovery.address()),
+                           fixture.discovery.address().size(), other.address()));
+    other.wait_for_requests(2);
+    CHECK(proxy.output().find("side=discovery reason=moved") != std::string::npos);
+    CHECK(fixture.discovery.connection_count() == 1);
+    for (auto &server : fixture.servers)
+        server.push_response(ok_response("held"));
+    CHECK(status_and_body(out.read()) == "HTTP/1.1 200 [held]");
+    const std::size_t before = fixture.servers[0].request_count();
     for (int key = 0; key < 8; ++key)
-        CHECK(told(toy_client(port).ask(asks("read", std::to_string(key)))).starts_with("HTTP/1.1 200"));
-    CHECK(with.servers[0].count() == before);
-    it.ends();
+        CHECK(status_and_body(test_client(port).request(make_request("read", std::to_string(key))))
+                  .starts_with("HTTP/1.1 200"));
+    CHECK(fixture.servers[0].request_count() == before);
+    it.stop();
 }
 
 // With requests active over a switch of settings: those accepted before get one response each, later ones go
 // by the new settings, an unsound file changes nothing, and the way back is alike.
 TEST_CASE("SIGHUP: other settings, and back") {
-    stand with({.replies = {"hold"}, .starts = false});
+    proxy_fixture fixture({.responses = {"hold"}, .start_proxy = false});
     const auto changed = [&](const std::string &from, const std::string &to) {
-        std::string made = with.config;
+        std::string made = fixture.config;
         return made.replace(made.find(from), from.size(), to);
     };
     const std::string moved =
         changed(R"("familyInfo":{})", R"("familyInfo":{"mode":"aside","originKind":1})");
-    running it(with, "switch_test.json");
-    auto &proxy = it.proxy;
+    proxy_process it(fixture, "switch_test.json");
+    auto &proxy = it.process;
     const int port = it.port;
-    toy_client out(port);
-    out.send(asks("read", "1"));
-    with.wait_for_execution();
+    test_client out(port);
+    out.send(make_request("read", "1"));
+    fixture.wait_for_attempt();
 
     it.reload(changed(R"("drainGraceMs":400)", R"("drainGraceMs":400,"startCapacity":14)"));
-    proxy.wait_for("reload-failed reason=settings.rules.startCapacity is 14, not from 0 to 1");
+    proxy.wait_for_output("reload-failed reason=settings.rules.startCapacity is 14, not from 0 to 1");
     it.reload(changed(R"("name":"p0")", R"("name":"p1")"));
-    proxy.wait_for("reload-failed reason=name cannot change while the program runs");
+    proxy.wait_for_output("reload-failed reason=name cannot change while the program runs");
     it.reload(moved);
-    proxy.wait_for("origin=aside");
+    proxy.wait_for_output("origin=aside");
     // In hand since before the switch: sent once, and its answer is the client's.
-    CHECK(with.executions() == 1);
-    for (auto &server : with.servers)
-        server.push(ok("held"));
-    CHECK(told(out.read()) == "HTTP/1.1 200 [held]");
+    CHECK(fixture.attempt_count() == 1);
+    for (auto &server : fixture.servers)
+        server.push_response(ok_response("held"));
+    CHECK(status_and_body(out.read()) == "HTTP/1.1 200 [held]");
     // Writes go to the origin now, reads to the one cache that is left.
-    const std::size_t reads = with.servers[0].count(), writes = with.servers[1].count();
+    const std::size_t reads = fixture.servers[0].request_count(), writes = fixture.servers[1].request_count();
     for (int key = 0; key < 6; ++key) {
-        CHECK(told(toy_client(port).ask(asks("bill", std::to_string(key)))) == "HTTP/1.1 200 [value]");
-        CHECK(told(toy_client(port).ask(asks("read", std::to_string(key)))) == "HTTP/1.1 200 [value]");
+        CHECK(status_and_body(test_client(port).request(make_request("bill", std::to_string(key)))) ==
+              "HTTP/1.1 200 [value]");
+        CHECK(status_and_body(test_client(port).request(make_request("read", std::to_string(key)))) ==
+              "HTTP/1.1 200 [value]");
     }
-    CHECK(with.servers[0].count() == reads + 6);
-    CHECK(with.servers[1].count() == writes + 6);
+    CHECK(fixture.servers[0].request_count() == reads + 6);
+    CHECK(fixture.servers[1].request_count() == writes + 6);
 
-    it.reload(with.config);
-    proxy.wait_for("origin=through");
-    const std::size_t before = with.servers[1].count(), all = with.executions();
+    it.reload(fixture.config);
+    proxy.wait_for_output("origin=through");
+    const std::size_t before = fixture.servers[1].request_count(), all = fixture.attempt_count();
     for (int key = 0; key < 12; ++key)
-        CHECK(told(toy_client(port).ask(asks("read", std::to_string(key)))) == "HTTP/1.1 200 [value]");
-    CHECK(with.servers[1].count() > before); // a cache server again
-    CHECK(with.executions() == all + 12);
-    it.ends();
+        CHECK(status_and_body(test_client(port).request(make_request("read", std::to_string(key)))) ==
+              "HTTP/1.1 200 [value]");
+    CHECK(fixture.servers[1].request_count() > before); // a cache server again
+    CHECK(fixture.attempt_count() == all + 12);
+    it.stop();
 }
 
 // No request is lost or executed twice while settings switch to and fro under load: names in another order,
 // another mode.
 TEST_CASE("SIGHUP: other settings under load") {
-    stand with({.starts = false});
-    running it(with, "load_test.json");
-    std::string moved = with.config;
+    proxy_fixture fixture({.start_proxy = false});
+    proxy_process it(fixture, "load_test.json");
+    std::string moved = fixture.config;
     moved.replace(moved.find(R"("familyInfo":{})"), 15, R"("familyInfo":{"mode":"aside","originKind":1})");
     const auto list = moved.find(R"("useCases":[)") + 12;
     moved.insert(list, R"({"name":"first","effect":"idempotent","group":"all","sloTimeMs":90},)");
@@ -772,19 +799,20 @@
     clients.reserve(workers);
     for (int worker = 0; worker < workers; ++worker)
         clients.emplace_back([&, worker] {
-            toy_client from(it.port);
+            test_client from(it.port);
             for (int at = 0; at < each; ++at) {
                 const std::string key = std::to_string(worker * each + at);
-                served += told(from.ask(asks(at % 2 == 0 ? "bill" : "read", key))) == "HTTP/1.1 200 [value]";
+                served += status_and_body(from.request(make_request(at % 2 == 0 ? "bill" : "read", key))) ==
+                          "HTTP/1.1 200 [value]";
                 ++asked;
             }
         });
     const auto count = [&](const std::string &line) {
-        return static_cast<int>(test::count_of(it.proxy.text(), line));
+        return static_cast<int>(test::count_occurrences(it.process.output(), line));
     };
     int switches = 0;
     while (asked < workers * each || switches % 2 != 0) {
-        it.reload(switches % 2 == 0 ? moved : with.config);
+        it.reload(switches % 2 == 0 ? moved : fixture.config);
         ++switches;
         while (count(" adopted ") < switches)
             std::this_thread::yield();
@@ -792,15 +820,15 @@
     for (auto &client : clients)
         client.join();
     CHECK(served == workers * each);
-    CHECK(with.executions() == workers * each);
-    it.ends();
+    CHECK(fixture.attempt_count() == workers * each);
+    it.stop();
 }
 
 // For settings that were edited by hand, the place and the fault are named.
 TEST_CASE("settings out of bounds") {
-    stand with({.starts = false});
+    proxy_fixture fixture({.start_proxy = false});
     const auto fault = [&](const std::string &from, const std::string &to) -> std::string {
-        std::string made = with.config;
+        std::string made = fixture.config;
         try {
             read_configuration(made.replace(made.find(from), from.size(), to));
         } catch (const parse_error &bad) {
@@ -826,9 +854,9 @@
 
 // A request that crosses a switch of settings must not keep indices into names that are no longer in force.
 TEST_CASE("a query understood by the old names is not taken") {
-    stand with({.starts = false});
-    const auto old = std::make_shared<const configuration>(read_configuration(with.config));
-    const auto next = std::make_shared<const configuration>(read_configuration(with.config));
+    proxy_fixture fixture({.start_proxy = false});
+    const auto old = std::make_shared<const configuration>(read_configuration(fixture.config));
+    const auto next = std::make_shared<const configuration>(read_configuration(fixture.config));
     dispatcher decides(old);
     decides.on_check_health = [](endpoint_index) {};
     decides.on_watch_endpoints = [] {};
@@ -850,73 +878,76 @@
 
 // Settings and endpoint list switch together: while discovery does not answer, both stay.
 TEST_CASE("SIGHUP: other settings wait for their list") {
-    stand with({.starts = false});
-    toy_server other([&](const std::string &) { return "hold"; });
-    std::string moved = with.config;
-    moved.replace(moved.find(with.discovery.at()), with.discovery.at().size(), other.at());
+    proxy_fixture fixture({.start_proxy = false});
+    test_server other([&](const std::string &) { return "hold"; });
+    std::string moved = fixture.config;
+    moved.replace(moved.find(fixture.discovery.address()), fixture.discovery.address().size(),
+                  other.address());
     moved.replace(moved.find(R"("familyInfo":{})"), 15, R"("familyInfo":{"mode":"aside","originKind":1})");
-    running it(with, "waits_test.json");
-    auto &proxy = it.proxy;
+    proxy_process it(fixture, "waits_test.json");
+    auto &proxy = it.process;
     const int port = it.port;
     it.reload(moved);
-    other.wait_for(1);
+    other.wait_for_requests(1);
     for (int key = 0; key < 12; ++key) // also to the one that would be the origin
-        CHECK(told(toy_client(port).ask(asks("read", std::to_string(key)))) == "HTTP/1.1 200 [value]");
-    CHECK(with.servers[1].count() > 0);
-    CHECK(proxy.text().find("adopted") == std::string::npos);
-    other.push(ok(with.list("active", true)));
-    proxy.wait_for("origin=aside");
-    it.ends();
+        CHECK(status_and_body(test_client(port).request(make_request("read", std::to_string(key)))) ==
+              "HTTP/1.1 200 [value]");
+    CHECK(fixture.servers[1].request_count() > 0);
+    CHECK(proxy.output().find("adopted") == std::string::npos);
+    other.push_response(ok_response(fixture.endpoint_list_json("active", true)));
+    proxy.wait_for_output("origin=aside");
+    it.stop();
 }
 
 // No request is lost at a planned stop, and clients whom no other proxy serves yet go on: new connections are
 // served, active requests get their responses, then the process ends.
 TEST_CASE("a planned end") {
-    stand with({.replies = {"hold"}});
-    toy_client out(with.port), idle(with.port);
-    CHECK(idle.ask("GET /_health HTTP/1.1\r\n\r\n").starts_with("HTTP/1.1 200"));
-    out.send(asks("read", "1"));
-    with.wait_for_execution();
-    std::thread ending([&] { with.proxy->end(0.3); });
-    while (with.test_ready())
+    proxy_fixture fixture({.responses = {"hold"}});
+    test_client out(fixture.port), idle(fixture.port);
+    CHECK(idle.request("GET /_health HTTP/1.1\r\n\r\n").starts_with("HTTP/1.1 200"));
+    out.send(make_request("read", "1"));
+    fixture.wait_for_attempt();
+    std::thread ending([&] { fixture.proxy->end(0.3); });
+    while (fixture.is_ready())
         std::this_thread::yield();
-    toy_client late(with.port);
+    test_client late(fixture.port);
     for (auto *const client : {&late, &idle, &late}) {
-        const std::string answer = client->ask(asks("read", "2"));
-        CHECK(told(answer) == "HTTP/1.1 200 [value]");
+        const std::string answer = client->request(make_request("read", "2"));
+        CHECK(status_and_body(answer) == "HTTP/1.1 200 [value]");
         CHECK(answer.find("\r\nConnection: close\r\n") == std::string::npos);
     }
-    CHECK(late.ended());
-    CHECK(idle.ended());
-    for (auto &server : with.servers)
-        server.push(ok("held"));
+    CHECK(late.wait_for_close());
+    CHECK(idle.wait_for_close());
+    for (auto &server : fixture.servers)
+        server.push_response(ok_response("held"));
     const std::string last = out.read();
-    CHECK(told(last) == "HTTP/1.1 200 [held]");
+    CHECK(status_and_body(last) == "HTTP/1.1 200 [held]");
     CHECK(last.find("\r\nConnection: close\r\n") != std::string::npos);
     ending.join();
-    CHECK_THROWS(toy_client(with.port));
+    CHECK_THROWS(test_client(fixture.port));
 }
 
 // The request's deadline is later than the time at which the platform kills the process: the stop must not
 // wait for it.
 TEST_CASE("a planned end waits no longer than the longest statement timeout") {
-    stand with({.replies = {"hold"}, .statement_ms = 100});
-    toy_client client(with.port);
-    client.send(asks("bill", "1", "60000m"));
-    with.wait_for_execution();
-    with.proxy->end(0);
+    proxy_fixture fixture({.responses = {"hold"}, .request_timeout_ms = 100});
+    test_client client(fixture.port);
+    client.send(make_request("bill", "1", "60000m"));
+    fixture.wait_for_attempt();
+    fixture.proxy->end(0);
     CHECK(client.read().starts_with("HTTP/1.1 50"));
-    CHECK(with.proxy->counts().of(counter::aborted) == 1);
+    CHECK(fixture.proxy->counts().of(counter::aborted) == 1);
 }
 
 // With no connection open when the stop begins, clients are still sent here for a while and must be served.
 TEST_CASE("a planned end serves on for its grace") {
-    stand with;
+    proxy_fixture fixture;
     const auto from = std::chrono::steady_clock::now();
-    std::thread ending([&] { with.proxy->end(0.3); });
-    while (with.test_ready())
+    std::thread ending([&] { fixture.proxy->end(0.3); });
+    while (fixture.is_ready())
         std::this_thread::yield();
-    CHECK(told(toy_client(with.port).ask(asks("read", "1"))) == "HTTP/1.1 200 [value]");
+    CHECK(status_and_body(test_client(fixture.port).request(make_request("read", "1"))) ==
+          "HTTP/1.1 200 [value]");
     ending.join();
     CHECK(std::chrono::steady_clock::now() - from >= std::chrono::milliseconds(300));
 }
@@ -924,22 +955,22 @@
 // At the limit on sockets idle clients make room, nobody is rejected because of them, and a connection whose
 // response did not say that it closes is there for the next request.
 TEST_CASE("many idle clients") {
-    stand with({.sockets = 96}); // 96 less own use: some 20 clients
-    std::list<toy_client> idle;
+    proxy_fixture fixture({.socket_limit = 96}); // 96 less own use: some 20 clients
+    std::list<test_client> idle;
     int closing = 0;
     for (int i = 0; i < 80; ++i) {
-        auto &client = idle.emplace_back(with.port);
+        auto &client = idle.emplace_back(fixture.port);
         bool closes = false;
         for (int query = 0; query < 2 && !closes; ++query) {
-            const std::string answer = client.ask(asks("read", "1"));
-            CHECK(told(answer) == "HTTP/1.1 200 [value]");
+            const std::string answer = client.request(make_request("read", "1"));
+            CHECK(status_and_body(answer) == "HTTP/1.1 200 [value]");
             closes = answer.find("\r\nConnection: close\r\n") != std::string::npos;
         }
         closing += closes;
     }
     CHECK(closing > 40);
     CHECK(closing < 70);
-    CHECK(with.proxy->counts().of(counter::rejected_too_many_connections) == 0);
+    CHECK(fixture.proxy->counts().of(counter::rejected_too_many_connections) == 0);
 }
 
 TEST_CASE("counters and configurations") {
--- a/tests/router/router_test.cpp
+++ b/tests/router/router_test.cpp
@@ -21,7 +21,7 @@
         CAPTURE(name);
         const std::string kept = read_file(folder + "/" + name + ".txt");
         CHECK(!kept.empty());
-        CHECK(test::script().play(kept) == kept);
+        CHECK(test::router_script().replay(kept) == kept);
     }
 }
 
--- a/tests/support/stand.hpp
+++ b/tests/support/stand.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Discovery, two servers and a proxy before them on loopback, for the tests of the proxy.
+// Fixtures for the tests of the proxy: discovery, two servers and a proxy in front of them on loopback.
 #pragma once
 
 #include "support/helpers.hpp"
@@ -14,155 +14,168 @@
 #include <thread>
 
 namespace harrierpass::proxy {
-using test::ok;
-using test::toy_client;
-using test::toy_server;
+using test::ok_response;
+using test::test_client;
+using test::test_server;
 
-struct stand_options {
-    std::vector<std::string> replies = {}; // in order, whichever server is asked; then 200 "value"
-    int sockets = 256;
-    int port = 0;         // the proxy's; 0: any that is free
-    bool control = false; // the operators' door, at a port of its own
-    std::string family = "{}";
-    bool silent = false; // discovery, while the proxy knows the list
-    int statement_ms = 3000;
-    int dial_ms = 250;
-    int window_ms = 9000; // of deduplicated queries
-    bool starts = true;   // the proxy
-    int work_ms = 0;      // that a server takes for each answer
+struct proxy_fixture_options {
+    // Responses of both servers in the order of their requests; then 200 with the body "value".
+    std::vector<std::string> responses = {};
+    int socket_limit = 256;
+    int port = 0;                     // the proxy's; 0: any free one
+    bool with_control_server = false; // on a free port
+    std::string origin_settings = "{}";
+    bool discovery_silent = false; // the proxy has the endpoint list from its configuration
+    int request_timeout_ms = 3000;
+    int connect_timeout_ms = 250;
+    int deduplication_window_ms = 9000;
+    bool start_proxy = true;
+    int response_delay_ms = 0; // of the servers
 };
 
-// A server whose queue of connections is full: the next one comes up only when there is room again.
-struct full_server {
-    full_server() {
+// A server whose backlog is full: a further connection is established only after accept_waiting().
+struct full_backlog_server {
+    full_backlog_server() {
         const address any = *parse_address("127.0.0.1:0");
-        REQUIRE(::bind(listening.get(), reinterpret_cast<const sockaddr *>(&any.where), any.size) == 0);
-        REQUIRE(::listen(listening.get(), 0) == 0);
-        filler = dial(local_address(listening), 1);
-        REQUIRE(filler);
+        REQUIRE(::bind(listener.get(), reinterpret_cast<const sockaddr *>(&any.where), any.size) == 0);
+        REQUIRE(::listen(listener.get(), 0) == 0);
+        backlog_filler = dial(local_address(listener), 1);
+        REQUIRE(backlog_filler);
     }
-    std::string at() const { return to_text(local_address(listening)); }
-    tcp_socket make_room() const { // the connection that waited
+    std::string host_port() const { return to_text(local_address(listener)); }
+    // Removes the connection that fills the backlog and returns the one that waited behind it.
+    tcp_socket accept_waiting() const {
         address peer;
-        const tcp_socket first = accept_on(listening, peer);
-        return accept_on(listening, peer);
+        const tcp_socket filler = accept_on(listener, peer);
+        return accept_on(listener, peer);
     }
-    const tcp_socket listening{::socket(AF_INET, SOCK_STREAM, 0)};
-    tcp_socket filler;
+    const tcp_socket listener{::socket(AF_INET, SOCK_STREAM, 0)};
+    tcp_socket backlog_filler;
 };
 
-// Discovery, two servers that answer by one list of texts, and a proxy before them.
-struct stand {
-    explicit stand(const stand_options &given = {})
-        : replies(given.replies), work(given.work_ms), silent(given.silent) {
-        const auto use = [&](const char *name, const char *effect, int slo_ms) {
-            return R"({"group":"all","windowMs":)" + std::to_string(given.window_ms) +
+// Discovery, two servers that share one sequence of responses, and a proxy in front of them.
+struct proxy_fixture {
+    explicit proxy_fixture(const proxy_fixture_options &options = {})
+        : responses(options.responses), response_delay(options.response_delay_ms),
+          discovery_silent(options.discovery_silent) {
+        const auto request_class_json = [&](const char *name, const char *effect, int latency_objective_ms) {
+            return R"({"group":"all","windowMs":)" + std::to_string(options.deduplication_window_ms) +
                    R"(,"importance":1,"name":")" + std::string(name) + R"(","effect":")" + effect +
-                   R"(","sloTimeMs":)" + std::to_string(slo_ms) + R"(,"statementTimeoutMs":)" +
-                   std::to_string(given.statement_ms) + "}";
+                   R"(","sloTimeMs":)" + std::to_string(latency_objective_ms) + R"(,"statementTimeoutMs":)" +
+                   std::to_string(options.request_timeout_ms) + "}";
         };
-        config = R"({"name":"p0","listen":"127.0.0.1:)" + std::to_string(given.port) + R"(","discovery":")" +
-                 discovery.at() + R"(","seed":"8c1f30d27a5be964","limits":{"sockets":)" +
-                 std::to_string(given.sockets) + R"(},"known":)" +
-                 (given.silent ? list("active", true) : "null") +
-                 (given.control ? R"(,"control":"127.0.0.1:0")" : "") +
-                 R"(,"settings":{"peersTotal":1,"tickMs":5,"rules":{"drainGraceMs":400},
+        config =
+            R"({"name":"p0","listen":"127.0.0.1:)" + std::to_string(options.port) + R"(","discovery":")" +
+            discovery.address() + R"(","seed":"8c1f30d27a5be964","limits":{"sockets":)" +
+            std::to_string(options.socket_limit) + R"(},"known":)" +
+            (options.discovery_silent ? endpoint_list_json("active", true) : "null") +
+            (options.with_control_server ? R"(,"control":"127.0.0.1:0")" : "") +
+            R"(,"settings":{"peersTotal":1,"tickMs":5,"rules":{"drainGraceMs":400},
             "limits":{"maxExecutions":4,"cancel":true,"probes":true,"retryAfter":true,"maxRetryAfterMs":1500,
                 "connIdleMs":400,"dialTimeoutMs":)" +
-                 std::to_string(given.dial_ms) + R"(},
+            std::to_string(options.connect_timeout_ms) + R"(},
             "tenants":[{"name":"acme","quotaRps":1000}],"zones":["a","b"],"shapes":["m","o"],"familyInfo":)" +
-                 given.family + R"(,"useCases":[)" + use("read", "idempotent", 200) + "," +
-                 use("book", "deduplicated", 200) + "," + use("bill", "at_most_once", 200) + "," +
-                 use("audit", "at_most_once", 10000) + "]}}";
-        if (!given.starts)
+            options.origin_settings + R"(,"useCases":[)" + request_class_json("read", "idempotent", 200) +
+            "," + request_class_json("book", "deduplicated", 200) + "," +
+            request_class_json("bill", "at_most_once", 200) + "," +
+            request_class_json("audit", "at_most_once", 10000) + "]}}";
+        if (!options.start_proxy)
             return;
-        proxy = std::make_unique<service>(read_configuration(config), lines, log_level::debug);
+        proxy = std::make_unique<service>(read_configuration(config), log_output, log_level::debug);
         port = ntohs(reinterpret_cast<const sockaddr_in &>(proxy->at().where).sin_port);
-        door = ntohs(reinterpret_cast<const sockaddr_in &>(proxy->control_address().where).sin_port);
-        while (!test_ready())
+        control_port = ntohs(reinterpret_cast<const sockaddr_in &>(proxy->control_address().where).sin_port);
+        while (!is_ready())
             std::this_thread::yield();
     }
-    bool test_ready() {
-        return toy_client(port).ask("GET /_health HTTP/1.1\r\n\r\n").starts_with("HTTP/1.1 200");
+    // Whether the proxy answers its health check with 200.
+    bool is_ready() {
+        return test_client(port).request("GET /_health HTTP/1.1\r\n\r\n").starts_with("HTTP/1.1 200");
     }
-    std::string reply() {
-        std::this_thread::sleep_for(work);
-        const std::lock_guard hold(lock);
-        const std::size_t at = next++;
-        return at < replies.size() ? replies[at] : ok("value");
+    std::string next_response() {
+        std::this_thread::sleep_for(response_delay);
+        const std::lock_guard guard(mutex);
+        const std::size_t position = next_response_index++;
+        return position < responses.size() ? responses[position] : ok_response("value");
     }
-    std::string list(const std::string &first_phase, bool full_list) {
-        const auto entry = [](const char *id, const std::string &at, const std::string &phase,
-                              const char *kind = "m") {
-            return std::string(R"({"id":")") + id + R"(","host_port":")" + at +
+    // The body of a response from discovery: a snapshot of both servers, or a delta with the first server
+    // alone.
+    std::string endpoint_list_json(const std::string &first_phase, bool is_snapshot) {
+        const auto member_json = [](const char *id, const std::string &host_port, const std::string &phase,
+                                    const char *kind = "m") {
+            return std::string(R"({"id":")") + id + R"(","host_port":")" + host_port +
                    R"(","locality":"a","flavor":")" + kind + R"(","cell":0,"phase":")" + phase +
                    R"(","size":1.0,"up_since_ms":0})";
         };
-        return std::string(R"({"revision":)") + (full_list ? "41" : "42") + R"(,"complete":)" +
-               (full_list ? "true" : "false") + R"(,"members":[)" +
-               entry("s0", servers[0].at(), first_phase) +
-               (full_list ? "," + entry("s1", servers[1].at(), "active", "o") : "") + "]}";
+        return std::string(R"({"revision":)") + (is_snapshot ? "41" : "42") + R"(,"complete":)" +
+               (is_snapshot ? "true" : "false") + R"(,"members":[)" +
+               member_json("s0", servers[0].address(), first_phase) +
+               (is_snapshot ? "," + member_json("s1", servers[1].address(), "active", "o") : "") + "]}";
     }
-    std::size_t executions() { return servers[0].count() + servers[1].count(); }
-    void wait_for_execution() {
-        while (executions() == 0)
+    // Requests that the servers have received.
+    std::size_t attempt_count() { return servers[0].request_count() + servers[1].request_count(); }
+    void wait_for_attempt() {
+        while (attempt_count() == 0)
             std::this_thread::yield();
     }
 
-    std::mutex lock;
-    std::vector<std::string> replies;
-    std::chrono::milliseconds work;
-    std::size_t next = 0;
-    std::atomic<bool> silent, leaving = false; // discovery; the first server, in whole lists
-    std::ostringstream lines;
-    std::array<toy_server, 2> servers{toy_server([this](const std::string &) { return reply(); }),
-                                      toy_server([this](const std::string &) { return reply(); })};
-    toy_server discovery{[this](const std::string &request) {
-        return silent || request.find("since=") != std::string::npos
+    std::mutex mutex; // protects next_response_index
+    std::vector<std::string> responses;
+    std::chrono::milliseconds response_delay;
+    std::size_t next_response_index = 0;
+    std::atomic<bool> discovery_silent;
+    std::atomic<bool> first_server_draining = false; // in snapshots from discovery
+    std::ostringstream log_output;
+    std::array<test_server, 2> servers{test_server([this](const std::string &) { return next_response(); }),
+                                       test_server([this](const std::string &) { return next_response(); })};
+    test_server discovery{[this](const std::string &request) {
+        return discovery_silent || request.find("since=") != std::string::npos
                    ? "hold"
-                   : ok(list(leaving ? "leaving" : "active", true));
+                   : ok_response(endpoint_list_json(first_server_draining ? "leaving" : "active", true));
     }};
     std::string config;
     std::unique_ptr<service> proxy;
-    int port = 0, door = 0;
+    int port = 0, control_port = 0;
 };
 
-inline std::string asks(const std::string &use, const std::string &key,
-                        const std::string &deadline = "2500m") {
-    const bool write = use != "read";
-    return (write ? "PUT /" : "GET /") + use + "/" + key +
-           " HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: 9b" + key + "\r\nX-Class: " + use +
+// A request of this class as a client sends it: a GET for "read", a PUT with a body for the others.
+inline std::string make_request(const std::string &class_name, const std::string &key,
+                                const std::string &deadline = "2500m") {
+    const bool is_write = class_name != "read";
+    return (is_write ? "PUT /" : "GET /") + class_name + "/" + key +
+           " HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: 9b" + key + "\r\nX-Class: " + class_name +
            "\r\nX-Tenant: acme\r\nX-Deadline: " + deadline +
-           (write ? "\r\nIdempotency-Key: k" + key + "\r\nContent-Length: 4\r\n\r\nbody" : "\r\n\r\n");
+           (is_write ? "\r\nIdempotency-Key: k" + key + "\r\nContent-Length: 4\r\n\r\nbody" : "\r\n\r\n");
 }
 
-inline std::string told(const std::string &answer) {
-    const auto head = answer.find("\r\n\r\n");
-    return answer.substr(0, 12) + (head == std::string::npos ? " cut" : " [" + answer.substr(head + 4) + "]");
+// "HTTP/1.1 200 [body]", or "HTTP/1.1 200 cut" if the response ends within its head.
+inline std::string status_and_body(const std::string &response) {
+    const auto head = response.find("\r\n\r\n");
+    return response.substr(0, 12) +
+           (head == std::string::npos ? " cut" : " [" + response.substr(head + 4) + "]");
 }
 
 inline int free_port() {
-    toy_server here([](const std::string &) { return "close"; });
-    const std::string at = here.at();
-    return std::stoi(at.substr(at.rfind(':') + 1));
+    const test_server server([](const std::string &) { return "close"; });
+    const std::string host_port = server.address();
+    return std::stoi(host_port.substr(host_port.rfind(':') + 1));
 }
 
-// A private directory as the platform gives one, for as long as it lives.
-struct own_directory {
-    own_directory(const own_directory &) = delete;
-    own_directory &operator=(const own_directory &) = delete;
-    own_directory()
+// Sets TMPDIR to a directory that exists until the destructor runs.
+struct temporary_directory {
+    temporary_directory(const temporary_directory &) = delete;
+    temporary_directory &operator=(const temporary_directory &) = delete;
+    temporary_directory()
         : path(std::filesystem::temp_directory_path() / ("harrierpass-test-" + std::to_string(::getpid()))) {
         std::filesystem::create_directory(path);
         ::setenv("TMPDIR", path.c_str(), 1);
     }
-    ~own_directory() {
+    ~temporary_directory() {
         ::unsetenv("TMPDIR");
         std::filesystem::remove_all(path);
     }
-    // Until a proxy in this directory can hand over: a thread of its own makes the socket for successors,
-    // which may be after the proxy has logged `started`.
-    void wait_for_successor_socket() const {
+    // Waits until a proxy in this directory can be succeeded in a hot restart: its hot restart thread may
+    // create the socket after the proxy has logged `started`.
+    void wait_for_hot_restart_socket() const {
         const auto is_socket = [](const auto &entry) { return entry.path().extension() == ".sock"; };
         while (std::none_of(std::filesystem::directory_iterator(path), {}, is_socket))
             std::this_thread::yield();
@@ -170,37 +183,38 @@
     std::filesystem::path path;
 };
 
-// The program itself, started with a stand's configuration in a file that it may be told to read again.
-struct running {
-    running(const running &) = delete;
-    running &operator=(const running &) = delete;
-    running(stand &with, const std::string &file)
+// The proxy as a process of its own, with a fixture's configuration in a file that it can reload.
+struct proxy_process {
+    proxy_process(const proxy_process &) = delete;
+    proxy_process &operator=(const proxy_process &) = delete;
+    proxy_process(proxy_fixture &fixture, const std::string &file_name)
         : path(std::filesystem::temp_directory_path() /
-               ("harrierpass-" + std::to_string(::getpid()) + "-" + file)),
-          proxy(HARRIERPASS_PROGRAM, write(with.config)) {
-        proxy.wait_for("started ");
-        port = std::stoi(proxy.after("listen=127.0.0.1:"));
-        if (const std::string at = proxy.after("control=127.0.0.1:");
-            !at.empty() && at[0] >= '0' && at[0] <= '9')
-            door = std::stoi(at);
-        with.discovery.wait_for(2); // the list is told and watched
+               ("harrierpass-" + std::to_string(::getpid()) + "-" + file_name)),
+          process(HARRIERPASS_PROGRAM, write_configuration(fixture.config)) {
+        process.wait_for_output("started ");
+        port = std::stoi(process.output_after("listen=127.0.0.1:"));
+        if (const std::string control = process.output_after("control=127.0.0.1:");
+            !control.empty() && control[0] >= '0' && control[0] <= '9')
+            control_port = std::stoi(control);
+        fixture.discovery.wait_for_requests(2); // the snapshot and the watch after it
     }
-    ~running() { std::remove(path.c_str()); }
-    const std::string &write(const std::string &text) const {
+    ~proxy_process() { std::remove(path.c_str()); }
+    const std::string &write_configuration(const std::string &text) const {
         std::ofstream(path) << text;
         return path;
     }
     void reload(const std::string &text) {
-        write(text);
-        proxy.signal(SIGHUP);
+        write_configuration(text);
+        process.signal(SIGHUP);
     }
-    void ends() {
-        proxy.signal(SIGTERM);
-        CHECK(proxy.status() == 0);
+    // Stops the process with SIGTERM and checks its exit status.
+    void stop() {
+        process.signal(SIGTERM);
+        CHECK(process.wait_for_exit() == 0);
     }
     std::string path;
-    test::program proxy;
-    int port = 0, door = 0;
+    test::child_process process;
+    int port = 0, control_port = 0;
 };
 
 } // namespace harrierpass::proxy
--- a/tests/support/testbed_helpers.hpp
+++ b/tests/support/testbed_helpers.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// What the testbed's tests share: parts of experiment texts, the histories of broken rules in the test's
-// output, waiting for events in a loop, and a client connection that keeps what it is told.
+// Helpers for the tests of the testbed: parts of experiment files, output of the histories of requests that
+// broke a rule, waiting in an event loop, and a client connection that records its last response.
 #pragma once
 
 #include "testbed/loop/channel.hpp"
@@ -13,64 +13,66 @@
 
 namespace harrierpass::testbed {
 
-// Times of a request class, as experiment files write them.
+// Times of a request class in the notation of experiment files.
 struct class_times {
     std::string work = "8ms", objective = "200ms", timeout = "600ms";
 };
 
-// One request class of an experiment's text; `fields`: further lines of it.
+// A request class in an experiment file; `fields` are its other lines.
 inline std::string request_class(const std::string &name, const std::string &fields = "",
                                  const class_times &times = {}) {
     return "[[use_case]]\nname = \"" + name + "\"\n" + fields + "work = \"" + times.work + "\"\nslo = \"" +
            times.objective + "\"\ntimeout = \"" + times.timeout + "\"\n";
 }
 
-// One fault of an experiment's text; `fields`: further lines of it.
+// A fault in an experiment file; `fields` are its other lines.
 inline std::string fault(const std::string &kind, const std::string &at, const std::string &fields) {
     return "[[fault]]\nkind = \"" + kind + "\"\nat = \"" + at + "\"\n" + fields + "\n";
 }
 
-// One fault of links, from the first second to the second one.
+// A link fault from 1 s to 2 s after the start of the run.
 inline std::string link_fault(const std::string &kind, const std::string &fields) {
     return "[[link]]\nkind = \"" + kind + "\"\nat = \"1s\"\nfor = \"1s\"\n" + fields + "\n";
 }
 
 // Prints the histories of the requests for which a run broke a rule.
 inline void print_histories(const run_result &run) {
-    for (const auto &each : run.histories)
-        MESSAGE(each);
+    for (const auto &history : run.histories)
+        MESSAGE(history);
 }
 
-// Runs the loop until something is there, or fails.
-inline void until(loop &in, const std::function<bool()> &what, int line = __builtin_LINE()) {
-    const double end = in.clock.now() + 20;
-    in.run([&] { return what() || in.clock.now() > end; });
+// Runs the event loop until the condition holds; fails after 20 s.
+inline void run_until(loop &event_loop, const std::function<bool()> &condition, int line = __builtin_LINE()) {
+    const double deadline = event_loop.clock.now() + 20;
+    event_loop.run([&] { return condition() || event_loop.clock.now() > deadline; });
     CAPTURE(line);
-    REQUIRE(what());
+    REQUIRE(condition());
 }
 
-struct caller {
-    caller(loop &with, const std::string &to)
-        : on(std::make_shared<channel>(with, start_connecting(*parse_address(to)),
-                                       http_reader::message_kind::response)) {
-        on->on_message = [this](const auto &, const http_reader &answer) {
-            said = std::to_string(answer.head().status) + " " + std::string(answer.head().header("X-Cache"));
-            ++count;
+// A client connection that records its last response, their count and the reason of its close.
+struct recording_client {
+    recording_client(loop &event_loop, const std::string &host_port)
+        : connection(std::make_shared<channel>(event_loop, start_connecting(*parse_address(host_port)),
+                                               http_reader::message_kind::response)) {
+        connection->on_message = [this](const auto &, const http_reader &response) {
+            last_response =
+                std::to_string(response.head().status) + " " + std::string(response.head().header("X-Cache"));
+            ++response_count;
         };
-        on->on_end = [this](const auto &, channel::ending how) {
-            ended = true;
-            why = how;
+        connection->on_end = [this](const auto &, channel::ending reason) {
+            closed = true;
+            close_reason = reason;
         };
-        on->start(true);
+        connection->start(true);
     }
     void get(const std::string &id, const std::string &path) {
-        on->send("GET " + path + " HTTP/1.1\r\nHost: x\r\nX-Request-Id: " + id + "\r\n\r\n");
+        connection->send("GET " + path + " HTTP/1.1\r\nHost: x\r\nX-Request-Id: " + id + "\r\n\r\n");
     }
-    std::shared_ptr<channel> on;
-    std::string said;
-    int count = 0;
-    bool ended = false;
-    channel::ending why = channel::ending::closed;
+    std::shared_ptr<channel> connection;
+    std::string last_response; // status and X-Cache
+    int response_count = 0;
+    bool closed = false;
+    channel::ending close_reason = channel::ending::closed;
 };
 
 } // namespace harrierpass::testbed
--- a/tests/testbed/cold_start_test.cpp
+++ b/tests/testbed/cold_start_test.cpp
@@ -56,7 +56,7 @@
     experiment given =
         parse_experiment(tier + "[proxies]\ncount = 24\nshared_list = true\n" + proxies + faults, "day.toml");
     given.proxies.shared_list = !agent;
-    auto run = on_sockets(given, logs);
+    auto run = run_experiment_on_sockets(given, logs);
     print_histories(run);
     CHECK(run.broken() == 0);
     return run;
@@ -67,10 +67,10 @@
 // Guards the list service against a tier that starts together and knows nothing.
 TEST_CASE("24 proxies start together: few calls at once, few refused, and all serve") {
     const auto with = played("together = true\n"), without = played("together = true\n", "", true);
-    CHECK(figure(with, "list_whole") == 24);
-    CHECK(figure(with, "list_refused") <= 24); // once each at the most
-    CHECK(figure(with, "lists_lost") * 10 <= figure(without, "lists_lost"));
-    CHECK(figure(with, "after_5s") >= figure(without, "after_5s") - 0.02);
+    CHECK(fleet_metric(with, "list_whole") == 24);
+    CHECK(fleet_metric(with, "list_refused") <= 24); // once each at the most
+    CHECK(fleet_metric(with, "lists_lost") * 10 <= fleet_metric(without, "lists_lost"));
+    CHECK(fleet_metric(with, "after_5s") >= fleet_metric(without, "after_5s") - 0.02);
     CHECK(with.service > without.service - 0.02);
 }
 
@@ -82,11 +82,11 @@
             "[[fault]]\nkind = \"" + std::string(how) + "\"\nat = \"0s\"\nfor = \"2s\"\n";
         const auto run = played("together = true\nknown = \"list\"\n", fault);
         CHECK(run.service > 0.95);
-        CHECK(figure(run, "all_up_s") < 2);
-        CHECK(figure(run, "list_whole") == 0); // a watch from what is known, never all of it
-        CHECK(figure(run, "list_most_100ms") <= 16);
+        CHECK(fleet_metric(run, "all_up_s") < 2);
+        CHECK(fleet_metric(run, "list_whole") == 0); // a watch from what is known, never all of it
+        CHECK(fleet_metric(run, "list_most_100ms") <= 16);
         // What a hung one finds in its sockets when it wakes is a call of each.
-        CHECK(figure(run, "list_refused") <= (std::string(how) == "list_stop" ? 24 : 0));
+        CHECK(fleet_metric(run, "list_refused") <= (std::string(how) == "list_stop" ? 24 : 0));
     }
 }
 
@@ -134,12 +134,12 @@
 servers = [0, 1]
 )");
     CHECK(run.service > 0.85);
-    CHECK(figure(run, "list_whole") <= 2);
-    CHECK(figure(run, "list_refused") <= 24); // a call of each, when the hung service wakes
+    CHECK(fleet_metric(run, "list_whole") <= 2);
+    CHECK(fleet_metric(run, "list_refused") <= 24); // a call of each, when the hung service wakes
 }
 
 TEST_CASE("lists kept in files: all are killed at once, and serve from them while the list service is dead") {
-    const std::string folder = folder_of("cold-start-kept-");
+    const std::string folder = create_temporary_directory("cold-start-kept-");
     const auto run = played("snapshots = true\n", R"(
 [[fault]]
 kind = "proxy_kill"
@@ -153,12 +153,12 @@
 )",
                             false, folder);
     CHECK(run.service > 0.9);
-    CHECK(figure(run, "list_whole") == 24); // the first time
+    CHECK(fleet_metric(run, "list_whole") == 24); // the first time
     for (index i = 0; i < 24; ++i) {
         const std::string log = test::read_file(folder + "/p" + std::to_string(i) + ".log");
-        CHECK(count_of(log, "snapshot used=0 reason=absent") == 1);
-        CHECK(count_of(log, "snapshot used=1") == 1);
-        CHECK(count_of(log, "list-state to=known") == 1);
+        CHECK(count_occurrences(log, "snapshot used=0 reason=absent") == 1);
+        CHECK(count_occurrences(log, "snapshot used=1") == 1);
+        CHECK(count_occurrences(log, "list-state to=known") == 1);
     }
     // What another proxy kept, or kept from another list service, is refused by name; what is told is the
     // truth.
@@ -214,7 +214,7 @@
 
 // Guards a start against a process that was killed in the middle of keeping its list.
 TEST_CASE("killed at random instants while it is written: a whole one is there, this or the last") {
-    const std::string folder = testbed::folder_of("cold-start-kills-");
+    const std::string folder = testbed::create_temporary_directory("cold-start-kills-");
     const std::string path = folder + "/p0.list";
     configuration given;
     given.name = "p0";
--- a/tests/testbed/many_test.cpp
+++ b/tests/testbed/many_test.cpp
@@ -112,16 +112,16 @@
     void time_passes(int rounds = 20) {
         const auto well = near(1);
         const std::size_t before = far.size();
-        until(in, [&] { return well->up && far.size() > before; });
+        run_until(in, [&] { return well->up && far.size() > before; });
         for (int i = 1; i <= rounds; ++i) {
             well->say("w");
-            until(in, [&] { return far.back()->heard.size() == static_cast<std::size_t>(i); });
+            run_until(in, [&] { return far.back()->heard.size() == static_cast<std::size_t>(i); });
             far.back()->say("w");
-            until(in, [&] { return well->heard.size() == static_cast<std::size_t>(i); });
+            run_until(in, [&] { return well->heard.size() == static_cast<std::size_t>(i); });
         }
         const auto gone = far.back().get();
         well->close(false);
-        until(in, [&] { return gone->ended; });
+        run_until(in, [&] { return gone->ended; });
         std::erase_if(far, [&](const auto &each) { return each.get() == gone; });
     }
     loop in;
@@ -140,44 +140,44 @@
 TEST_CASE("a link that is well: one connection in is one out, ends and resets as they came") {
     wires of(link_fault("drop", one_pair));
     auto one = of.near(0);
-    until(of.in, [&] { return one->up && of.far.size() == 1; });
+    run_until(of.in, [&] { return one->up && of.far.size() == 1; });
     one->say("there");
-    until(of.in, [&] { return of.far[0]->heard == "there"; });
+    run_until(of.in, [&] { return of.far[0]->heard == "there"; });
     of.far[0]->say("back");
-    until(of.in, [&] { return one->heard == "back"; });
+    run_until(of.in, [&] { return one->heard == "back"; });
     ::shutdown(one->socket.get(), SHUT_WR); // one half only
-    until(of.in, [&] { return of.far[0]->ended; });
+    run_until(of.in, [&] { return of.far[0]->ended; });
     of.far[0]->say("still");
-    until(of.in, [&] { return one->heard == "backstill"; });
+    run_until(of.in, [&] { return one->heard == "backstill"; });
     CHECK_FALSE(one->ended);
     of.far[0]->close(false);
-    until(of.in, [&] { return one->ended; });
+    run_until(of.in, [&] { return one->ended; });
     CHECK(of.between.connections() == 0);
 
     auto two = of.near(0);
-    until(of.in, [&] { return of.far.size() == 2; });
+    run_until(of.in, [&] { return of.far.size() == 2; });
     two->close(true);
-    until(of.in, [&] { return of.far[1]->reset; });
+    run_until(of.in, [&] { return of.far[1]->reset; });
     auto three = of.near(0);
-    until(of.in, [&] { return of.far.size() == 3; });
+    run_until(of.in, [&] { return of.far.size() == 3; });
     of.far[2]->close(true);
-    until(of.in, [&] { return three->reset; });
+    run_until(of.in, [&] { return three->reset; });
 
     of.between.set_far_state(link_kind::proxy_server, 0, far_state::refuses);
     auto four = of.near(0);
-    until(of.in, [&] { return four->refused; });
+    run_until(of.in, [&] { return four->refused; });
     of.between.set_far_state(link_kind::proxy_server, 0, far_state::up);
     auto five = of.near(0); // the same address
-    until(of.in, [&] { return of.far.size() == 4; });
+    run_until(of.in, [&] { return of.far.size() == 4; });
 }
 
 TEST_CASE("a link that is dropped lets no byte through, no end and no new connection, and goes on later") {
     wires of(link_fault("drop", one_pair) + link_fault("drop", one_pair));
     auto one = of.near(0), ends = of.near(0);
-    until(of.in, [&] { return one->up && ends->up && of.far.size() == 2; });
+    run_until(of.in, [&] { return one->up && ends->up && of.far.size() == 2; });
     const bool first = [&] { // which of the far ends is whose
         one->say("1");
-        until(of.in, [&] { return of.far[0]->heard == "1" || of.far[1]->heard == "1"; });
+        run_until(of.in, [&] { return of.far[0]->heard == "1" || of.far[1]->heard == "1"; });
         return of.far[0]->heard == "1";
     }();
     auto &far_one = *of.far[first ? 0 : 1], &far_ends = *of.far[first ? 1 : 0];
@@ -199,80 +199,80 @@
     CHECK(far_one.heard == "1");
     CHECK_FALSE(late->up);
     of.table.apply(1, false);
-    until(of.in, [&] { return far_one.heard == "1x" && one->heard == "y"; });
-    until(of.in, [&] { return far_ends.reset; }); // what its sender left behind is not brought
+    run_until(of.in, [&] { return far_one.heard == "1x" && one->heard == "y"; });
+    run_until(of.in, [&] { return far_ends.reset; }); // what its sender left behind is not brought
     CHECK(far_ends.heard.empty());
-    until(of.in, [&] { return late->up; }); // as the system here asks again
+    run_until(of.in, [&] { return late->up; }); // as the system here asks again
 }
 
 TEST_CASE("a link that is one way brings what is sent there, and nothing back") {
     wires of(link_fault("one_way", one_pair));
     auto one = of.near(0);
-    until(of.in, [&] { return one->up && of.far.size() == 1; });
+    run_until(of.in, [&] { return one->up && of.far.size() == 1; });
     of.table.apply(0, true);
     one->say("x");
-    until(of.in, [&] { return of.far[0]->heard == "x"; });
+    run_until(of.in, [&] { return of.far[0]->heard == "x"; });
     of.far[0]->say("y");
     auto late = of.near(0);
     of.time_passes();
     CHECK(one->heard.empty());
     CHECK_FALSE(late->up); // its answer is lost, too
     of.table.apply(0, false);
-    until(of.in, [&] { return one->heard == "y"; });
+    run_until(of.in, [&] { return one->heard == "y"; });
 }
 
 TEST_CASE("a link that is reset breaks at both ends, for as long as it lasts at once") {
     wires of(link_fault("reset", one_pair));
     auto one = of.near(0);
-    until(of.in, [&] { return one->up && of.far.size() == 1; });
+    run_until(of.in, [&] { return one->up && of.far.size() == 1; });
     of.table.apply(0, true);
-    until(of.in, [&] { return one->reset && of.far[0]->reset; });
+    run_until(of.in, [&] { return one->reset && of.far[0]->reset; });
     auto two = of.near(0);
-    until(of.in, [&] { return two->reset; });
+    run_until(of.in, [&] { return two->reset; });
     CHECK(of.far.size() == 1);
     of.table.apply(0, false);
     auto three = of.near(0);
-    until(of.in, [&] { return of.far.size() == 2; });
+    run_until(of.in, [&] { return of.far.size() == 2; });
 }
 
 TEST_CASE("a link whose far end died unseen: silence, and a reset when it is over") {
     wires of(link_fault("half_open", one_pair));
     auto one = of.near(0);
-    until(of.in, [&] { return one->up && of.far.size() == 1; });
+    run_until(of.in, [&] { return one->up && of.far.size() == 1; });
     of.table.apply(0, true);
-    until(of.in, [&] { return of.far[0]->reset; });
+    run_until(of.in, [&] { return of.far[0]->reset; });
     one->say("x");
     auto fresh = of.near(0); // what comes up now is well
-    until(of.in, [&] { return of.far.size() == 2; });
+    run_until(of.in, [&] { return of.far.size() == 2; });
     fresh->say("f");
-    until(of.in, [&] { return of.far[1]->heard == "f"; });
+    run_until(of.in, [&] { return of.far[1]->heard == "f"; });
     CHECK_FALSE(one->reset);
     CHECK_FALSE(one->ended);
     of.table.apply(0, false);
-    until(of.in, [&] { return one->reset; });
+    run_until(of.in, [&] { return one->reset; });
     of.far[1]->say("g");
-    until(of.in, [&] { return fresh->heard == "g"; });
+    run_until(of.in, [&] { return fresh->heard == "g"; });
 }
 
 TEST_CASE("a slow link: later by its delay, in order, at its pace") {
     wires of(link_fault("slow", one_pair + "delay = \"40ms\"\njitter = \"20ms\"\n") +
              link_fault("slow", one_pair + "pace = 1000000.0\n"));
     auto one = of.near(0);
-    until(of.in, [&] { return one->up && of.far.size() == 1; });
+    run_until(of.in, [&] { return one->up && of.far.size() == 1; });
     of.table.apply(0, true);
     double began = of.in.clock.now();
     one->say("a");
     one->say("b");
-    until(of.in, [&] { return of.far[0]->heard == "ab"; });
+    run_until(of.in, [&] { return of.far[0]->heard == "ab"; });
     of.far[0]->say("c");
-    until(of.in, [&] { return one->heard == "c"; });
+    run_until(of.in, [&] { return one->heard == "c"; });
     CHECK(of.in.clock.now() - began >= 0.08);
     of.table.apply(0, false);
     of.table.apply(1, true);
     began = of.in.clock.now();
     const std::string much(150000, 'm');
     one->say(much);
-    until(of.in, [&] { return of.far[0]->heard.size() == 2 + much.size(); });
+    run_until(of.in, [&] { return of.far[0]->heard.size() == 2 + much.size(); });
     CHECK(of.in.clock.now() - began >= 0.14);
 }
 
@@ -315,7 +315,7 @@
     std::array<peer, 3> all;
     datagram_relay between(in, table, {all[0].at, all[1].at, all[2].at}, 1);
     const auto hears = [&](index who, const std::string &what) {
-        until(in, [&] {
+        run_until(in, [&] {
             all[who].read();
             return all[who].heard == what;
         });
@@ -341,7 +341,7 @@
     table.apply(1, false);
     table.apply(2, true);
     all[0].say(between.address_of(0, 1), "g");
-    until(in, [&] { return between.counters().reordered == 1; });
+    run_until(in, [&] { return between.counters().reordered == 1; });
     table.apply(2, false);
     all[0].say(between.address_of(0, 1), "h");
     hears(1, "acffhg");
@@ -350,7 +350,7 @@
     all[1].say(between.address_of(1, 0), "j");
     all[1].say(between.address_of(1, 2), "k");
     hears(2, "ck");
-    until(in, [&] { return between.counters().dropped == 3; });
+    run_until(in, [&] { return between.counters().dropped == 3; });
     CHECK(all[0].heard == "be");
     CHECK(between.counters().foreign == 1);
     CHECK(between.counters().too_long == 1);
@@ -476,17 +476,17 @@
     loop in;
     run_environment all(in.clock, given, 1, 0.05, [&in] { return in.exact(); });
     all.checker.allow_unknown_requests = true;
-    const std::string folder = folder_of("many-parts-");
+    const std::string folder = create_temporary_directory("many-parts-");
     {
         fleet_ports ports(in, all, {}, {HARRIERPASS_TESTBED_PROGRAM, folder});
-        until(in, [&] { return ports.ready(); });
-        caller zero(in, ports.server_at(0)), one(in, ports.server_at(1));
+        run_until(in, [&] { return ports.ready(); });
+        recording_client zero(in, ports.server_at(0)), one(in, ports.server_at(1));
         zero.get("a1", "/lookup/7");
-        until(in, [&] { return zero.count == 1; });
+        run_until(in, [&] { return zero.response_count == 1; });
         zero.get("a2", "/lookup/7");
         one.get("a3", "/lookup/7");
-        until(in, [&] { return zero.count == 2 && one.count == 1; });
-        CHECK(zero.said == "200 hit");
+        run_until(in, [&] { return zero.response_count == 2 && one.response_count == 1; });
+        CHECK(zero.last_response == "200 hit");
         CHECK(all.servers.source().fetches() == 2); // the origin is here
 
         fault_settings stops;
@@ -496,53 +496,53 @@
         all.apply(stops, true);
         zero.get("b1", "/lookup/7");
         one.get("b2", "/lookup/7");
-        until(in, [&] { return one.count == 2; }); // the other process goes on
-        CHECK(zero.count == 2);
+        run_until(in, [&] { return one.response_count == 2; }); // the other process goes on
+        CHECK(zero.response_count == 2);
         all.apply(stops, false);
-        until(in, [&] { return zero.count == 3; });
+        run_until(in, [&] { return zero.response_count == 3; });
 
         fault_settings kills = stops;
         kills.kind = fault_kind::host_kill;
         all.apply(kills, true);
-        until(in, [&] { return zero.ended; });
-        caller refused(in, ports.server_at(2));
-        until(in, [&] { return refused.ended; });
-        CHECK(refused.why == channel::ending::failed);
-        caller list(in, ports.list_at(0));
+        run_until(in, [&] { return zero.closed; });
+        recording_client refused(in, ports.server_at(2));
+        run_until(in, [&] { return refused.closed; });
+        CHECK(refused.close_reason == channel::ending::failed);
+        recording_client list(in, ports.list_at(0));
         const std::string whole = "GET /catalog/members HTTP/1.1\r\nHost: l\r\n\r\n";
-        until(in, [&] { return all.list.revision() >= 3; }); // the list has noticed
+        run_until(in, [&] { return all.list.revision() >= 3; }); // the list has noticed
         all.apply(kills, false);
-        until(in, [&] { return ports.ready() && all.list.revision() >= 5; });
-        caller back(in, ports.server_at(0));
+        run_until(in, [&] { return ports.ready() && all.list.revision() >= 5; });
+        recording_client back(in, ports.server_at(0));
         back.get("c1", "/lookup/7");
-        until(in, [&] { return back.count == 1; });
-        CHECK(back.said == "200 miss"); // another process, cold and empty
+        run_until(in, [&] { return back.response_count == 1; });
+        CHECK(back.last_response == "200 miss"); // another process, cold and empty
 
-        list.on->send(whole);
-        until(in, [&] { return list.count == 1; });
-        CHECK(list.said == "200 ");
+        list.connection->send(whole);
+        run_until(in, [&] { return list.response_count == 1; });
+        CHECK(list.last_response == "200 ");
         fault_settings service;
         service.kind = fault_kind::list_stop;
         all.apply(service, true);
-        list.on->send(whole);
+        list.connection->send(whole);
         one.get("d1", "/lookup/7");
-        until(in, [&] { return one.count == 3; });
-        CHECK(list.count == 1);
+        run_until(in, [&] { return one.response_count == 3; });
+        CHECK(list.response_count == 1);
         all.apply(service, false);
-        until(in, [&] { return list.count == 2; });
+        run_until(in, [&] { return list.response_count == 2; });
         service.kind = fault_kind::list_kill;
         all.apply(service, true);
-        until(in, [&] { return list.ended; });
-        caller nobody(in, ports.list_at(0));
-        until(in, [&] { return nobody.ended; });
-        CHECK(nobody.why == channel::ending::failed);
+        run_until(in, [&] { return list.closed; });
+        recording_client nobody(in, ports.list_at(0));
+        run_until(in, [&] { return nobody.closed; });
+        CHECK(nobody.close_reason == channel::ending::failed);
         all.apply(service, false);
-        until(in, [&] { return ports.ready(); });
-        caller again(in, ports.list_at(0));
-        again.on->send(whole);
-        until(in, [&] { return again.count == 1; });
+        run_until(in, [&] { return ports.ready(); });
+        recording_client again(in, ports.list_at(0));
+        again.connection->send(whole);
+        run_until(in, [&] { return again.response_count == 1; });
         ports.end();
-        until(in, [&] { return ports.ended(); });
+        run_until(in, [&] { return ports.ended(); });
         CHECK(ports.deaths() == 0);
         all.events.close_source(all.own_events);
         all.events.deliver_ready();
@@ -584,14 +584,14 @@
 at = "1s"
 proxies = [3]
 )");
-    const std::string folder = folder_of("many-proxies-");
-    const auto run = on_sockets(given, folder);
+    const std::string folder = create_temporary_directory("many-proxies-");
+    const auto run = run_experiment_on_sockets(given, folder);
     print_histories(run);
     CHECK(run.broken() == 0);
     CHECK(run.none <= 3); // what the killed one held
     const auto log = [&](const char *name) { return test::read_file(folder + "/" + name + ".log"); };
-    const auto starts = [&](const char *name) { return count_of(log(name), "started name="); };
-    const auto ends = [&](const char *name) { return count_of(log(name), " info ended"); };
+    const auto starts = [&](const char *name) { return count_occurrences(log(name), "started name="); };
+    const auto ends = [&](const char *name) { return count_occurrences(log(name), " info ended"); };
     CHECK(starts("p0") == 2);
     CHECK(ends("p0") == 1); // not the one that was killed
     CHECK(starts("p1") == 2);
@@ -624,7 +624,7 @@
 proxies = [0]
 between = ["proxy-server"]
 )");
-    const auto run = on_sockets(given);
+    const auto run = run_experiment_on_sockets(given);
     print_histories(run);
     CHECK(run.broken() == 0);
     CHECK(run.aborted + run.rejected > 5); // the link was down
@@ -633,9 +633,9 @@
 
 // Clients cut off from a proxy hear nothing from it, and it is not to blame.
 TEST_CASE("a link between clients and a proxy, on sockets") {
-    const auto run =
-        on_sockets(made("length = \"2s\"\n[fleet]\nservers = 2\n[load]\nrate = 60\n[proxies]\ncount = 2\n" +
-                        link_fault("drop", "proxies = [0]\nbetween = [\"client-proxy\"]\n")));
+    const auto run = run_experiment_on_sockets(
+        made("length = \"2s\"\n[fleet]\nservers = 2\n[load]\nrate = 60\n[proxies]\ncount = 2\n" +
+             link_fault("drop", "proxies = [0]\nbetween = [\"client-proxy\"]\n")));
     CHECK(run.broken() == 0);
     CHECK(run.none > 5);
     CHECK(run.completed > run.queries / 2);
@@ -687,7 +687,7 @@
         const injected_violation breaks = each.first;
         const rule which = each.second;
         CAPTURE(std::string(name_of(which)));
-        const auto run = on_sockets(given, "", breaks);
+        const auto run = run_experiment_on_sockets(given, "", breaks);
         CHECK(run.rules[static_cast<std::size_t>(which)].second > 0);
         CHECK(!run.histories.empty());
     }
@@ -713,7 +713,7 @@
         CAPTURE(std::string(kind));
         const auto run = with(link_fault(kind, all_pairs + "share = 0.5\n"));
         CHECK(run.trace != calm.trace);
-        CHECK(figure(run, "dials_a_query") > figure(calm, "dials_a_query"));
+        CHECK(fleet_metric(run, "dials_a_query") > fleet_metric(calm, "dials_a_query"));
     }
     CHECK(with(link_fault("slow", all_pairs + "delay = \"100ms\"\n")).p90 > calm.p90 + 0.1);
     CHECK(with(link_fault("partition", "zone = \"a\"\nproxy_zone = \"a\"\n")).trace != calm.trace);
@@ -721,19 +721,21 @@
     CHECK(clients.none > 20);
     const auto paused =
         with("[[fault]]\nkind = \"proxy_pause\"\nat = \"1s\"\nfor = \"1s\"\nproxies = [0, 1]\n");
-    CHECK(figure(paused, "struck") < figure(paused, "not_struck"));
+    CHECK(fleet_metric(paused, "struck") < fleet_metric(paused, "not_struck"));
     const auto fault = [](const std::string &kind, const std::string &more) {
         return "[[fault]]\nkind = \"" + kind + "\"\nat = \"1s\"\nfor = \"500ms\"\n" + more;
     };
-    CHECK(figure(with(fault("host_kill", "hosts = [0]\n")), "dead_sends") > 0);
+    CHECK(fleet_metric(with(fault("host_kill", "hosts = [0]\n")), "dead_sends") > 0);
     CHECK(with(fault("host_stop", "hosts = [0]\n")).p999 > calm.p999);
     const auto restart = with(fault("proxy_restart", "proxy_share = 1\nsteps = 3\nover = \"1s\"\n"));
     CHECK(restart.none == 0);
-    CHECK(figure(restart, "list_whole") == figure(calm, "list_whole") + 6);
-    CHECK(figure(with(fault("proxy_late", "proxies = [0]\n")), "list_whole") == figure(calm, "list_whole"));
+    CHECK(fleet_metric(restart, "list_whole") == fleet_metric(calm, "list_whole") + 6);
+    CHECK(fleet_metric(with(fault("proxy_late", "proxies = [0]\n")), "list_whole") ==
+          fleet_metric(calm, "list_whole"));
     CHECK(with(fault("proxy_end", "proxies = [0]\n")).trace != calm.trace);
     const std::string central = "[list]\nform = \"central\"\n";
-    CHECK(figure(with(central + fault("list_kill", "")), "list_watch") < figure(with(central), "list_watch"));
+    CHECK(fleet_metric(with(central + fault("list_kill", "")), "list_watch") <
+          fleet_metric(with(central), "list_watch"));
 }
 
 // Subsets between real processes: some links drop, a process of servers dies, a proxy stands still, others
@@ -782,13 +784,14 @@
 for = "100ms"
 proxies = [12, 13]
 )");
-    const auto with = on_sockets(given),
-               without = on_sockets(given, "", injected_violation::nothing, policy_kind::full_list);
+    const auto with = run_experiment_on_sockets(given),
+               without =
+                   run_experiment_on_sockets(given, "", injected_violation::nothing, policy_kind::full_list);
     print_histories(with);
     CHECK(with.broken() == 0);
     CHECK(with.completed > 1000);
-    CHECK(figure(with, "dials_a_query") < 0.85 * figure(without, "dials_a_query"));
-    CHECK(figure(with, "open_most") <= figure(without, "open_most"));
+    CHECK(fleet_metric(with, "dials_a_query") < 0.85 * fleet_metric(without, "dials_a_query"));
+    CHECK(fleet_metric(with, "open_most") <= fleet_metric(without, "open_most"));
 }
 
 } // namespace harrierpass::testbed
--- a/tests/testbed/testbed_test.cpp
+++ b/tests/testbed/testbed_test.cpp
@@ -344,19 +344,19 @@
     run_environment all(in.clock, given, 1, 0.05);
     all.checker.allow_unknown_requests = true;
     const fleet_ports ports(in, all);
-    caller one(in, ports.server_at(0)), two(in, ports.server_at(1));
+    recording_client one(in, ports.server_at(0)), two(in, ports.server_at(1));
     one.get("a1", "/lookup/7");
-    until(in, [&] { return one.count == 1; });
-    CHECK(one.said == "200 miss");
+    run_until(in, [&] { return one.response_count == 1; });
+    CHECK(one.last_response == "200 miss");
     one.get("a2", "/lookup/7");
-    until(in, [&] { return one.count == 2; });
-    CHECK(one.said == "200 hit");
-    one.on->send("GET /ping HTTP/1.1\r\nHost: x\r\n\r\n");
-    until(in, [&] { return one.count == 3; });
-    CHECK(one.said == "200 ");
+    run_until(in, [&] { return one.response_count == 2; });
+    CHECK(one.last_response == "200 hit");
+    one.connection->send("GET /ping HTTP/1.1\r\nHost: x\r\n\r\n");
+    run_until(in, [&] { return one.response_count == 3; });
+    CHECK(one.last_response == "200 ");
     one.get("a3", "/nothing/7");
-    until(in, [&] { return one.count == 4; });
-    CHECK(one.said == "400 ");
+    run_until(in, [&] { return one.response_count == 4; });
+    CHECK(one.last_response == "400 ");
     CHECK(all.checker.broken() == 0);
 
     // The same query at two servers at once.
@@ -364,49 +364,50 @@
     all.servers.at(1).hang(true);
     one.get("b1", "/lookup/8");
     two.get("b1", "/lookup/8");
-    until(in, [&] { return all.checker.broken(rule::two_out) == 1; });
+    run_until(in, [&] { return all.checker.broken(rule::two_out) == 1; });
     all.servers.at(0).crash(true);
-    until(in, [&] { return one.ended; });
-    CHECK(one.why == channel::ending::reset);
-    caller refused(in, ports.server_at(0));
-    until(in, [&] { return refused.ended; });
-    CHECK(refused.why == channel::ending::failed);
+    run_until(in, [&] { return one.closed; });
+    CHECK(one.close_reason == channel::ending::reset);
+    recording_client refused(in, ports.server_at(0));
+    run_until(in, [&] { return refused.closed; });
+    CHECK(refused.close_reason == channel::ending::failed);
     all.servers.at(0).hang(false);
     all.servers.at(0).crash(false); // the same address, cold
-    caller back(in, ports.server_at(0));
+    recording_client back(in, ports.server_at(0));
     back.get("c1", "/lookup/7");
-    until(in, [&] { return back.count == 1; });
-    CHECK(back.said == "200 miss");
+    run_until(in, [&] { return back.response_count == 1; });
+    CHECK(back.last_response == "200 miss");
 
     // A machine that is gone: no answer, no refusal, and no connection comes up.
     all.servers.at(0).vanish(true);
     back.get("c2", "/lookup/7");
     CHECK_FALSE(dial(*parse_address(ports.server_at(0)), 0.2));
-    CHECK_FALSE(back.ended);
-    CHECK(back.count == 1);
+    CHECK_FALSE(back.closed);
+    CHECK(back.response_count == 1);
     // A caller that gives up meanwhile is seen to, and what it sent is never run.
     const auto executions = all.checker.executions();
-    two.on->end(false);
+    two.connection->end(false);
     all.servers.at(1).hang(false);
-    caller tired(in, ports.server_at(1));
+    recording_client tired(in, ports.server_at(1));
     tired.get("d1", "/lookup/9");
-    until(in, [&] { return tired.count == 1; });
+    run_until(in, [&] { return tired.response_count == 1; });
     all.servers.at(1).vanish(true);
     tired.get("d2", "/lookup/9");
-    tired.on->end(false);
-    caller again(in, ports.server_at(2));
+    tired.connection->end(false);
+    recording_client again(in, ports.server_at(2));
     again.get("d2", "/lookup/9");
-    until(in, [&] { return again.count == 1; });
+    run_until(in, [&] { return again.response_count == 1; });
     all.servers.at(1).vanish(false);
     all.servers.at(0).vanish(false);
-    until(in, [&] { return back.count == 2; });
-    CHECK(back.said == "200 hit");
+    run_until(in, [&] { return back.response_count == 2; });
+    CHECK(back.last_response == "200 hit");
     CHECK(all.checker.executions() == executions + 3); // d1, d2 once, c2
     CHECK(all.checker.broken() == 1);                  // the two at once, from before
 }
 
-run_result on_sockets(const std::string &rest, bool embeds, policy_kind by = policy_kind::module) {
-    auto run = on_sockets(made(rest), "", injected_violation::nothing, by, embeds);
+run_result run_experiment_on_sockets(const std::string &rest, bool embeds,
+                                     policy_kind by = policy_kind::module) {
+    auto run = run_experiment_on_sockets(made(rest), "", injected_violation::nothing, by, embeds);
     CAPTURE(run.histories);
     std::string stories;
     for (const auto &each : run.histories)
@@ -418,10 +419,10 @@
 }
 
 TEST_CASE("the proxy on sockets: a crash, a drain, and a proxy killed in mid-run") {
-    const auto run = on_sockets(fault("crash", "1s", "for = \"1s\"\nservers = [1]") +
-                                    fault("drain", "2s", "servers = [2]") +
-                                    fault("proxy_kill", "2500ms", "for = \"500ms\"\nproxies = [0]"),
-                                false);
+    const auto run = run_experiment_on_sockets(
+        fault("crash", "1s", "for = \"1s\"\nservers = [1]") + fault("drain", "2s", "servers = [2]") +
+            fault("proxy_kill", "2500ms", "for = \"500ms\"\nproxies = [0]"),
+        false);
     CHECK(run.completed > run.queries * 9 / 10);
     CHECK(run.none < run.queries / 20);
 }
@@ -433,7 +434,7 @@
     experiment given = made(fault("proxy_restart", "500ms", "for = \"4s\"\nproxies = [0]") +
                             fault("proxy_kill", "4s", "for = \"200ms\"\nproxies = [0]"));
     given.length = 9;
-    const auto run = on_sockets(given);
+    const auto run = run_experiment_on_sockets(given);
     print_histories(run);
     CHECK(run.broken() == 0); // `crashed` among them
 }
@@ -457,8 +458,8 @@
 
 TEST_CASE("the proxy on sockets, embedded, and a baseline as a process") {
     const std::string spoilt = fault("spoilt", "500ms", "for = \"3s\"\nservers = [0]\nfactor = 0.3");
-    const auto embedded = on_sockets(spoilt, true);
-    const auto baseline = on_sockets(spoilt, false, policy_kind::less_loaded_of_two);
+    const auto embedded = run_experiment_on_sockets(spoilt, true);
+    const auto baseline = run_experiment_on_sockets(spoilt, false, policy_kind::less_loaded_of_two);
     CHECK(embedded.completed > baseline.completed); // spoilt reads are tried again
     CHECK(baseline.aborted > 0);
 }
