--- a/src/base/counters.cpp
+++ b/src/base/counters.cpp
@@ -7,7 +7,7 @@
 namespace harrierpass {
 namespace {
 
-// The printed names, which dashboards and scripts read; by counter.
+// The printed names in the order of the counters; dashboards and scripts read them.
 constexpr std::array<std::string_view, static_cast<std::size_t>(counter::total)> printed_names = {
     "queries_taken",
     "queries_malformed",
@@ -48,10 +48,10 @@
 
 } // namespace
 
-void counters::print(std::ostream &to) const {
+void counters::print(std::ostream &output) const {
     for (std::size_t i = 0; i < printed_names.size(); ++i)
-        to << "counter " << printed_names[i] << ' ' << of(static_cast<counter>(i)) << '\n';
-    to << std::flush;
+        output << "counter " << printed_names[i] << ' ' << value(static_cast<counter>(i)) << '\n';
+    output << std::flush;
 }
 
 } // namespace harrierpass
--- a/src/base/counters.hpp
+++ b/src/base/counters.hpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// Counts of what the proxy received, sent and answered since its start. Thread-safe.
+// Counters of requests, attempts, health checks, polls and connections since the start of the proxy.
+// Thread-safe.
 #pragma once
 
 #include <array>
@@ -9,7 +10,7 @@
 
 namespace harrierpass {
 
-// What is counted, in the order in which it is printed. The printed names are fixed (counters.cpp).
+// The counters in the order in which they are printed. counters.cpp has the printed names, which are fixed.
 enum class counter : std::uint8_t {
     requests,
     bad_requests,
@@ -47,24 +48,22 @@
     upstream_connects_failed,
     upstream_connections_reused,
     upstream_connections_stale,
-    total // how many there are
+    total // number of counters
 };
 
-// One number for each counter.
+// The value of each counter.
 class counters {
 public:
-    // Counts one more.
-    void add(counter which) { at(which).fetch_add(1, std::memory_order_relaxed); }
-    // The count so far.
-    std::uint64_t of(counter which) const {
-        return values_[static_cast<std::size_t>(which)].load(std::memory_order_relaxed);
+    // Increments a counter by one.
+    void add(counter counted) { cell(counted).fetch_add(1, std::memory_order_relaxed); }
+    std::uint64_t value(counter counted) const {
+        return values_[static_cast<std::size_t>(counted)].load(std::memory_order_relaxed);
     }
-    // Writes a line for each counter: name and value.
-    void print(std::ostream &to) const;
+    // Writes one line for each counter: name and value.
+    void print(std::ostream &output) const;
 
 private:
-    // The number of a counter.
-    std::atomic<std::uint64_t> &at(counter which) { return values_[static_cast<std::size_t>(which)]; }
+    std::atomic<std::uint64_t> &cell(counter counted) { return values_[static_cast<std::size_t>(counted)]; }
     std::array<std::atomic<std::uint64_t>, static_cast<std::size_t>(counter::total)> values_{};
 };
 
--- a/src/base/json.hpp
+++ b/src/base/json.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// A strict, bounded reader of JSON (RFC 8259) into a tree of values.
+// A strict JSON parser (RFC 8259) with bounded nesting; produces a tree of values.
 #pragma once
 
 #include <cstdint>
@@ -11,32 +11,32 @@
 
 struct json_member;
 
-// A JSON value. Numbers stay text until they are read.
+// A JSON value. Numbers are kept as text and parsed by number_at().
 struct json {
-    // What the value is.
     enum class kind : std::uint8_t { null, boolean, number, string, array, object };
 
     kind type = kind::null;
-    std::string text;                 // of a string, its characters; of a number or literal, as written
-    std::vector<json> items;          // of an array
-    std::vector<json_member> members; // of an object
+    std::string text;                 // the characters of a string; a number or literal as written
+    std::vector<json> items;          // the elements of an array
+    std::vector<json_member> members; // the members of an object
 
-    // The value of a member; null where there is none, or where this is no object.
+    // Returns the value of a member, or null if there is no such member or the value is not an object.
     const json *find(std::string_view name) const;
-    // The text of a member; empty where there is none.
+    // Returns the text of a member, or an empty text if there is none.
     std::string_view string_at(std::string_view name) const;
-    // The number of a member; `absent` where there is none or null. Throws parse_error where it is no number.
-    double number_at(std::string_view name, double absent) const;
+    // Returns the number of a member, or `default_value` if it is absent or null. Throws parse_error if the
+    // member is not a number.
+    double number_at(std::string_view name, double default_value) const;
 };
 
-// A name and its value in an object.
+// A member of an object.
 struct json_member {
     std::string name;
     json value;
 };
 
-// Reads a text that is one JSON value. Throws parse_error where it is none, is nested more than 32 deep, or
-// has a name twice in an object.
+// Parses a text that consists of one JSON value. Throws parse_error if it is malformed, is nested more than 32
+// levels deep, or has two members of the same name in an object.
 json read_json(std::string_view text);
 
 } // namespace harrierpass
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -19,21 +19,21 @@
     for (std::size_t i = 0; i < level_names.size(); ++i)
         if (level_names[i] == name)
             return static_cast<log_level>(i);
-    throw std::invalid_argument("the log level is none of debug, info, warning, error");
+    throw std::invalid_argument("unknown log level; expected debug, info, warning or error");
 }
 
-void log::write(log_level level, const std::string &text) {
+void log::write_line(log_level level, const std::string &text) {
     using namespace std::chrono;
     const auto now = system_clock::now();
     const std::time_t second = system_clock::to_time_t(now);
     const auto millisecond = duration_cast<milliseconds>(now.time_since_epoch()).count() % 1000;
     std::tm utc{};
     gmtime_r(&second, &utc);
-    const std::lock_guard hold(lock_);
-    out_ << std::put_time(&utc, "%FT%T") << '.' << std::setw(3) << std::setfill('0') << millisecond << "Z "
+    const std::lock_guard guard(mutex_);
+    output_ << std::put_time(&utc, "%FT%T") << '.' << std::setw(3) << std::setfill('0') << millisecond << "Z "
          << level_names[static_cast<std::size_t>(level)] << ' ' << text << '\n'
          << std::flush;
-    out_.clear(); // a failed write does not silence later ones
+    output_.clear(); // a failed write must not suppress later lines
 }
 
 } // namespace harrierpass
--- a/src/base/log.hpp
+++ b/src/base/log.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// A log of lines with a time and a level. Thread-safe; each line is flushed.
+// A text log; each line has a time and a level and is flushed. Thread-safe.
 #pragma once
 
 #include <iosfwd>
@@ -10,42 +10,41 @@
 
 namespace harrierpass {
 
-// How urgent a line is, in ascending order.
+// Levels in ascending order of severity.
 enum class log_level { debug, info, warning, error };
 
-// The level of this name. Throws std::invalid_argument where there is none.
+// Returns the level with this name. Throws std::invalid_argument if there is none.
 log_level parse_log_level(std::string_view name);
 
-// Writes lines of at least a minimum level.
+// Writes lines of a minimum level or above.
 class log {
 public:
-    // `out` belongs to the caller and must outlive the log.
-    log(std::ostream &out, log_level minimum) : out_(out), minimum_(minimum) {}
+    // The stream must outlive the log.
+    log(std::ostream &output, log_level minimum) : output_(output), minimum_(minimum) {}
 
-    // Each writes a line of its level, made of the parts.
+    // Each function writes the concatenated parts as a line of its level.
     template <typename... Parts> void debug(const Parts &...parts) { line(log_level::debug, parts...); }
     template <typename... Parts> void info(const Parts &...parts) { line(log_level::info, parts...); }
     template <typename... Parts> void warning(const Parts &...parts) { line(log_level::warning, parts...); }
     template <typename... Parts> void error(const Parts &...parts) { line(log_level::error, parts...); }
-    // Writes a line of a level that is known only at run time.
-    template <typename... Parts> void at(log_level level, const Parts &...parts) { line(level, parts...); }
+    // Writes a line of a level that is chosen at run time.
+    template <typename... Parts> void write(log_level level, const Parts &...parts) { line(level, parts...); }
     // Whether lines of this level are written.
-    bool writes(log_level level) const { return level >= minimum_; }
+    bool is_enabled(log_level level) const { return level >= minimum_; }
 
 private:
-    // Writes a line, if lines of this level are written.
     template <typename... Parts> void line(log_level level, const Parts &...parts) {
-        if (!writes(level))
+        if (!is_enabled(level))
             return;
         std::ostringstream text;
         (text << ... << parts);
-        write(level, text.str());
+        write_line(level, text.str());
     }
-    // Adds time and level.
-    void write(log_level level, const std::string &text);
+    // Writes a line with the time and the level in front of the text.
+    void write_line(log_level level, const std::string &text);
 
-    std::mutex lock_; // guards out_
-    std::ostream &out_;
+    std::mutex mutex_; // protects output_
+    std::ostream &output_;
     log_level minimum_;
 };
 
--- a/src/proxy/request/request_session.cpp
+++ b/src/proxy/request/request_session.cpp
@@ -111,7 +111,7 @@
     request_.streams_body = read.body_continues;
     request_.keep_connection = head.keeps_alive();
     request_.head_only = head.method == "HEAD";
-    request_.client_http_minor = head.minor;
+    request_.client_http_minor = head.minor_version;
     if (head.target == "/_health")
         return respond_to_health_check();
     if (head.method != "GET" && head.method != "PUT" && !request_.head_only)
@@ -335,9 +335,9 @@
     const bool was_read = request_.received_at > 0;
     const bool has_response = request_.response_status != 0;
     const log_level level = context_.request_level();
-    if (!context_.logger.writes(level) || (!was_read && !has_response))
+    if (!context_.logger.is_enabled(level) || (!was_read && !has_response))
         return;
-    context_.logger.at(level, "request-end id=", request_.id, " use-case=", request_.class_name,
+    context_.logger.write(level, "request-end id=", request_.id, " use-case=", request_.class_name,
                        " status=", request_.response_status, " attempts=", request_.attempts,
                        " took=", was_read ? now - request_.received_at : 0,
                        " left=", request_.deadline > 0 ? request_.deadline - now : 0,
--- a/src/proxy/request/upstream_attempt.cpp
+++ b/src/proxy/request/upstream_attempt.cpp
@@ -221,9 +221,9 @@
 
 void upstream_attempt::log_end(const attempt_result &result) const {
     const log_level level = context_.request_level();
-    if (!context_.logger.writes(level))
+    if (!context_.logger.is_enabled(level))
         return;
-    context_.logger.at(level, "execution-end id=", request_.id,
+    context_.logger.write(level, "execution-end id=", request_.id,
                        " server=", context_.upstreams.id_of(decision_.endpoint),
                        " number=", decision_.attempt, " stopping-for=", context_.time_since_stop(),
                        " status=", response_.head().status, " note=", response_.head().header("X-Cache"),
--- a/tests/proxy/crossings_test.cpp
+++ b/tests/proxy/crossings_test.cpp
@@ -45,9 +45,9 @@
 }
 
 void publish_list(proxy_fixture &fixture, const std::string &list) {
-    const auto before = fixture.proxy->counts().of(counter::endpoint_updates);
+    const auto before = fixture.proxy->counts().value(counter::endpoint_updates);
     fixture.discovery.push_response(ok_response(list));
-    wait_until([&] { return fixture.proxy->counts().of(counter::endpoint_updates) > before; });
+    wait_until([&] { return fixture.proxy->counts().value(counter::endpoint_updates) > before; });
 }
 
 // All that comes on a connection until it closes or is reset.
@@ -77,14 +77,14 @@
     const double sent = steady_now();                         // before it was
     client.send(make_request("book", key_of("s0"), "8000m")); // the system dials again after 1, 3 and 7 s
     fixture.servers[0].wait_for_requests(1);
-    const auto dials = count.of(counter::upstream_connects);
+    const auto dials = count.value(counter::upstream_connects);
     fixture.servers[0].push_response("reset");
-    wait_until([&] { return count.of(counter::upstream_connects) > dials; });
+    wait_until([&] { return count.value(counter::upstream_connects) > dials; });
     REQUIRE(steady_now() < sent + 0.3); // the second execution was decided on inside the window
     wait_until([&] { return steady_now() > sent + 0.4; });
     const tcp_socket accepted = slow_endpoint.accept_waiting();
     CHECK(status_and_body(client.read()) == "HTTP/1.1 502 []"); // it may have run: no rejection
-    CHECK(count.of(counter::attempts_sent) == 1);
+    CHECK(count.value(counter::attempts_sent) == 1);
     fixture.proxy.reset();
     CHECK(read_to_end(accepted).find("/book/") == std::string::npos);
 }
@@ -97,7 +97,7 @@
     const auto &count = fixture.proxy->counts();
     test_client client(fixture.port);
     client.send(make_request("bill", key_of("s1"), "8000m"));
-    wait_until([&] { return count.of(counter::upstream_connects) > 0; });
+    wait_until([&] { return count.value(counter::upstream_connects) > 0; });
     publish_list(fixture, list_with_second_endpoint(fixture, slow_endpoint.host_port(), "leaving"));
     const tcp_socket accepted = slow_endpoint.accept_waiting();
     CHECK(status_and_body(client.read()) == "HTTP/1.1 200 [value]"); // by the other one
@@ -118,7 +118,7 @@
     const int segment = 536;
     ::setsockopt(small_listener.get(), IPPROTO_TCP, TCP_MAXSEG, &segment, sizeof segment);
     const address any = *parse_address("127.0.0.1:0");
-    REQUIRE(::bind(small_listener.get(), reinterpret_cast<const sockaddr *>(&any.where), any.size) == 0);
+    REQUIRE(::bind(small_listener.get(), reinterpret_cast<const sockaddr *>(&any.storage), any.size) == 0);
     REQUIRE(::listen(small_listener.get(), 8) == 0);
     publish_list(fixture, list_with_second_endpoint(fixture, to_text(local_address(small_listener))));
     test_client client(fixture.port);
@@ -135,7 +135,7 @@
     });
     CHECK(status_and_body(client.request(request)) == "HTTP/1.1 200 [value]");
     resetting_endpoint.join();
-    CHECK(fixture.proxy->counts().of(counter::attempts_connect_error) == 1);
+    CHECK(fixture.proxy->counts().value(counter::attempts_connect_error) == 1);
     CHECK(fixture.servers[0].request_count() == 1);
 }
 
@@ -151,10 +151,10 @@
         client.send(make_request("read", key_of("s0")));
         fixture.servers[0].wait_for_requests(1);
     }
-    wait_until([&] { return count.of(counter::client_disconnects) == 1; });
+    wait_until([&] { return count.value(counter::client_disconnects) == 1; });
     fixture.servers[0].push_response("reset");
-    wait_until([&] { return count.of(counter::client_connections_closed) > 1; }); // the stand's own one, too
-    CHECK(count.of(counter::attempts_sent) == 1);
+    wait_until([&] { return count.value(counter::client_connections_closed) > 1; }); // the stand's own one, too
+    CHECK(count.value(counter::attempts_sent) == 1);
     fixture.proxy.reset();
     CHECK(fixture.attempt_count() == 1);
 }
@@ -167,7 +167,7 @@
     const std::string body(60000, 'v');
     proxy_fixture fixture({.responses = {"hold"}});
     const auto &count = fixture.proxy->counts();
-    const auto ended = count.of(counter::client_connections_closed);
+    const auto ended = count.value(counter::client_connections_closed);
     tcp_socket client(::socket(AF_INET, SOCK_STREAM, 0));
     const int receive_buffer_size = 1024; // bytes; most of the answer waits on the proxy's side
     ::setsockopt(client.get(), SOL_SOCKET, SO_RCVBUF, &receive_buffer_size, sizeof receive_buffer_size);
@@ -179,7 +179,7 @@
     fixture.servers[0].wait_for_requests(1);
     test::send_all(client.get(), make_request("read", key_of("s1")));
     fixture.servers[0].push_response(ok_response(body));
-    wait_until([&] { return count.of(counter::client_connections_closed) > ended; });
+    wait_until([&] { return count.value(counter::client_connections_closed) > ended; });
     const std::string answer = read_to_end(client);
     CHECK(answer.starts_with("HTTP/1.1 200"));
     CHECK(answer.ends_with("\r\n\r\n" + body));
--- a/tests/proxy/operators_test.cpp
+++ b/tests/proxy/operators_test.cpp
@@ -172,14 +172,14 @@
         decides.endpoints_updated(endpoint_update_kind::snapshot,
                                   {{endpoint_info{.endpoint = 0_endpoint, .id = "s0"}}});
         probes.start(0_endpoint);
-        while (count.of(counter::upstream_connects) == 0)
+        while (count.value(counter::upstream_connects) == 0)
             std::this_thread::yield();
         servers.set_disabled(0_endpoint, true);
         const tcp_socket probe = late.accept_waiting();
         char byte;
         CHECK(::recv(probe.get(), &byte, 1, 0) == 0); // ended, and nothing was written
     }
-    CHECK(count.of(counter::health_checks) == 0);
+    CHECK(count.value(counter::health_checks) == 0);
 }
 
 TEST_CASE("clients are sent away, and come back") {
@@ -434,7 +434,7 @@
         fixture.config = config;
         proxy = std::make_unique<service>(read_configuration(only(fixture, server.port)), lines,
                                           log_level::debug);
-        port = ntohs(reinterpret_cast<const sockaddr_in &>(proxy->at().where).sin_port);
+        port = ntohs(reinterpret_cast<const sockaddr_in &>(proxy->at().storage).sin_port);
     }
     proxy_fixture fixture;
     std::ostringstream lines;
--- a/tests/proxy/proxy_test.cpp
+++ b/tests/proxy/proxy_test.cpp
@@ -200,9 +200,9 @@
         CHECK(status_and_body(client.request(make_request("read", std::to_string(i)))) ==
               "HTTP/1.1 200 [value]");
     const auto &counted = fixture.proxy->counts();
-    CHECK(counted.of(counter::attempts_malformed) > 4);
-    CHECK(counted.of(counter::attempts_malformed) == counted.of(counter::attempts_error));
-    CHECK(counted.of(counter::health_checks) == 0);
+    CHECK(counted.value(counter::attempts_malformed) > 4);
+    CHECK(counted.value(counter::attempts_malformed) == counted.value(counter::attempts_error));
+    CHECK(counted.value(counter::health_checks) == 0);
     fixture.proxy->end(0);
     CHECK(fixture.log_output.str().find("reason=suspect") == std::string::npos);
     CHECK(fixture.log_output.str().find("reason=spoilt") != std::string::npos);
@@ -218,7 +218,7 @@
     CHECK(fixture.servers[1].request_count() == 1);
     CHECK(status_and_body(client.request(make_request("bill", "1"))) == "HTTP/1.1 200 [value]"); // a write
     CHECK(fixture.servers[1].request_count() == 2);
-    CHECK(fixture.proxy->counts().of(counter::attempts_cache_miss) == 1);
+    CHECK(fixture.proxy->counts().value(counter::attempts_cache_miss) == 1);
 }
 
 TEST_CASE("what a server is sent") {
@@ -366,9 +366,9 @@
     const auto from = std::chrono::steady_clock::now();
     CHECK(status_and_body(client.request(make_request("read", "1"))) == "HTTP/1.1 200 [value]");
     CHECK(std::chrono::steady_clock::now() - from < std::chrono::milliseconds(2000));
-    CHECK(fixture.proxy->counts().of(counter::attempts_canceled) == 1);
+    CHECK(fixture.proxy->counts().value(counter::attempts_canceled) == 1);
     // Then it is probed, answers, and has its key back.
-    while (fixture.proxy->counts().of(counter::health_checks_answered) == 0)
+    while (fixture.proxy->counts().value(counter::health_checks_answered) == 0)
         std::this_thread::yield();
     auto &silent = fixture.servers[fixture.servers[0].last_request().starts_with("GET /ping") ? 0 : 1];
     while (!silent.last_request().starts_with("GET /read/1"))
@@ -395,7 +395,7 @@
     std::list<test_client> clients;
     for (std::size_t total = 1; total <= 17; ++total) {
         clients.emplace_back(fixture.port).send(make_request("audit", std::to_string(total)));
-        while (counted.of(counter::requests) < total)
+        while (counted.value(counter::requests) < total)
             std::this_thread::yield();
     }
     while (fixture.attempt_count() < 16)
@@ -405,10 +405,10 @@
     while (fixture.attempt_count() < 17)
         std::this_thread::yield();
     clients.emplace_back(fixture.port).send(make_request("audit", "18"));
-    while (counted.of(counter::requests) < 18)
+    while (counted.value(counter::requests) < 18)
         std::this_thread::yield();
     clients.pop_back();
-    while (counted.of(counter::client_disconnects) == 0)
+    while (counted.value(counter::client_disconnects) == 0)
         std::this_thread::yield();
     CHECK(fixture.attempt_count() == 17);
     for (int i = 0; i < 20; ++i)
@@ -429,7 +429,7 @@
     std::list<test_client> clients;
     for (std::size_t total = 1; total <= 17; ++total) {
         clients.emplace_back(fixture.port).send(make_request("audit", std::to_string(total)));
-        while (fixture.proxy->counts().of(counter::requests) < total)
+        while (fixture.proxy->counts().value(counter::requests) < total)
             std::this_thread::yield();
     }
     while (fixture.attempt_count() < 16)
@@ -474,7 +474,7 @@
     CHECK(fixture.log_output.str().find("server=s0 executions=0 open=0 rested=0 reason=reclaimed") !=
           std::string::npos);
     CHECK(servers.acquire(0_endpoint, 1).socket); // a kept one
-    CHECK(fixture.counted.of(counter::upstream_connects) == 5);
+    CHECK(fixture.counted.value(counter::upstream_connects) == 5);
 }
 
 // An endpoint may close its connections right after a response: those that have been idle longer are used
@@ -491,7 +491,7 @@
     servers.release(std::move(used), 1.102);
     CHECK(servers.acquire(0_endpoint, 1.2).socket.get() == older); // both have rested: the latest
     CHECK(servers.acquire(0_endpoint, 1.2).socket.get() == latest);
-    CHECK(fixture.counted.of(counter::upstream_connects) == 2);
+    CHECK(fixture.counted.value(counter::upstream_connects) == 2);
 }
 
 // Other requests' connections stay open: where a process died they show it themselves.
@@ -526,7 +526,7 @@
     const std::string refused = test_client(fixture.port).request(make_request("bill", "99"));
     CHECK(refused.starts_with("HTTP/1.1 503"));
     CHECK(refused.find("\r\nRetry-After: 1.500\r\n") != std::string::npos);
-    CHECK(fixture.proxy->counts().of(counter::rejected_too_many_connections) == 1);
+    CHECK(fixture.proxy->counts().value(counter::rejected_too_many_connections) == 1);
     CHECK(fixture.attempt_count() == 16);
     for (int i = 0; i < 20; ++i)
         for (auto &server : fixture.servers)
@@ -561,8 +561,8 @@
     CHECK(slow.read() == "HTTP/1.1 100 Continue\r\n\r\n");
     CHECK(status_and_body(slow.request("body")) == "HTTP/1.1 200 [value]");
     test_client(fixture.port).send("GET /read/1 HT");
-    while (fixture.proxy->counts().of(counter::client_connections_closed) <
-           fixture.proxy->counts().of(counter::client_connections_accepted) - 1)
+    while (fixture.proxy->counts().value(counter::client_connections_closed) <
+           fixture.proxy->counts().value(counter::client_connections_accepted) - 1)
         std::this_thread::yield();
     fixture.proxy->end(0);
     CHECK(fixture.log_output.str().find(" reason=client_cut") != std::string::npos);
@@ -576,14 +576,14 @@
         client.send(make_request("read", "1"));
         fixture.wait_for_attempt();
     }
-    while (fixture.proxy->counts().of(counter::client_disconnects) == 0)
+    while (fixture.proxy->counts().value(counter::client_disconnects) == 0)
         std::this_thread::yield();
-    CHECK(fixture.proxy->counts().of(counter::attempts_completed) == 0);
+    CHECK(fixture.proxy->counts().value(counter::attempts_completed) == 0);
     for (auto &server : fixture.servers)
         server.push_response(ok_response("late"));
-    while (fixture.proxy->counts().of(counter::attempts_completed) == 0)
+    while (fixture.proxy->counts().value(counter::attempts_completed) == 0)
         std::this_thread::yield();
-    CHECK(fixture.proxy->counts().of(counter::completed) == 0);
+    CHECK(fixture.proxy->counts().value(counter::completed) == 0);
     CHECK(status_and_body(test_client(fixture.port).request(make_request("read", "1"))) ==
           "HTTP/1.1 200 [value]");
 }
@@ -601,13 +601,13 @@
     {
         test_client client(fixture.port);
         client.send(make_request("bill", "1"));
-        while (count.of(counter::upstream_connects) == 0)
+        while (count.value(counter::upstream_connects) == 0)
             std::this_thread::yield();
     }
     const tcp_socket came = late.accept_waiting();
-    while (count.of(counter::client_disconnects) == 0)
+    while (count.value(counter::client_disconnects) == 0)
         std::this_thread::yield();
-    CHECK(count.of(counter::attempts_sent) == 0);
+    CHECK(count.value(counter::attempts_sent) == 0);
     std::array<char, 64> bytes{};
     fixture.proxy.reset(); // its connections end; a probe may have been written meanwhile, the query never
     CHECK(::recv(came.get(), bytes.data(), bytes.size(), 0) >= 0);
@@ -626,11 +626,11 @@
         while (ended == 0 &&
                fixture.servers[0].open_connection_count() + fixture.servers[1].open_connection_count() > 0)
             std::this_thread::yield();
-        while (ended > 0 && fixture.proxy->counts().of(counter::upstream_connections_stale) <= ended)
+        while (ended > 0 && fixture.proxy->counts().value(counter::upstream_connections_stale) <= ended)
             std::this_thread::yield();
     }
     CHECK(fixture.servers[0].connection_count() + fixture.servers[1].connection_count() == 3);
-    CHECK(fixture.proxy->counts().of(counter::attempts_reset) == 0);
+    CHECK(fixture.proxy->counts().value(counter::attempts_reset) == 0);
     CHECK(fixture.attempt_count() == 3);
 }
 
@@ -646,12 +646,12 @@
     for (int key = 0; key < 8; ++key)
         CHECK(status_and_body(test_client(fixture.port).request(make_request("bill", std::to_string(key)))) ==
               "HTTP/1.1 200 [value]");
-    CHECK(fixture.proxy->counts().of(counter::attempts_connect_error) > 0);
+    CHECK(fixture.proxy->counts().value(counter::attempts_connect_error) > 0);
     CHECK(fixture.servers[0].request_count() == 0);
     CHECK(fixture.servers[1].request_count() == 8);
-    while (fixture.proxy->counts().of(counter::health_checks) == 0)
+    while (fixture.proxy->counts().value(counter::health_checks) == 0)
         std::this_thread::yield();
-    CHECK(fixture.proxy->counts().of(counter::health_checks_answered) == 0);
+    CHECK(fixture.proxy->counts().value(counter::health_checks_answered) == 0);
 }
 
 // Draining endpoints in the list get no requests; the old list stands while discovery is lost.
@@ -669,12 +669,12 @@
     ask_all();
     CHECK(fixture.servers[0].request_count() == 0);
     fixture.discovery.push_response("cut:HTTP/1.1 500 Down\r\nContent-Length: 0\r\n\r\n");
-    while (fixture.proxy->counts().of(counter::polls_failed) == 0)
+    while (fixture.proxy->counts().value(counter::polls_failed) == 0)
         std::this_thread::yield();
     ask_all();
     CHECK(fixture.servers[0].request_count() == 0);
     fixture.discovery.wait_for_requests(4); // asked again, for the whole list, in which the server is back
-    while (fixture.proxy->counts().of(counter::endpoint_updates) < 3)
+    while (fixture.proxy->counts().value(counter::endpoint_updates) < 3)
         std::this_thread::yield();
     ask_all();
     CHECK(fixture.servers[0].request_count() > 0);
@@ -687,7 +687,7 @@
     CHECK(status_and_body(test_client(fixture.port).request(make_request("read", "1"))) ==
           "HTTP/1.1 200 [value]");
     fixture.discovery.wait_for_requests(3);
-    CHECK(fixture.proxy->counts().of(counter::polls_failed) >= 2);
+    CHECK(fixture.proxy->counts().value(counter::polls_failed) >= 2);
     const std::size_t before = fixture.servers[0].request_count();
     fixture.first_server_draining = true;
     fixture.discovery_silent = false;
@@ -936,7 +936,7 @@
     fixture.wait_for_attempt();
     fixture.proxy->end(0);
     CHECK(client.read().starts_with("HTTP/1.1 50"));
-    CHECK(fixture.proxy->counts().of(counter::aborted) == 1);
+    CHECK(fixture.proxy->counts().value(counter::aborted) == 1);
 }
 
 // With no connection open when the stop begins, clients are still sent here for a while and must be served.
@@ -970,7 +970,7 @@
     }
     CHECK(closing > 40);
     CHECK(closing < 70);
-    CHECK(fixture.proxy->counts().of(counter::rejected_too_many_connections) == 0);
+    CHECK(fixture.proxy->counts().value(counter::rejected_too_many_connections) == 0);
 }
 
 TEST_CASE("counters and configurations") {
--- a/tests/proxy/request_guard_test.cpp
+++ b/tests/proxy/request_guard_test.cpp
@@ -17,7 +17,7 @@
         guard.emplace(monitor);
         guard->request_read("r1", kind, deadline);
     }
-    std::uint64_t violations() const { return count.of(counter::invariants_violated); }
+    std::uint64_t violations() const { return count.value(counter::invariants_violated); }
     bool logged(invariant which) const { return log_lines.str().find(name_of(which)) != std::string::npos; }
 
     std::ostringstream log_lines;
--- a/tests/settings/field_reader_test.cpp
+++ b/tests/settings/field_reader_test.cpp
@@ -26,9 +26,9 @@
 
 void check_error(const parse_error &error, parse_fault fault, const std::string &path,
                  const std::string &message) {
-    CHECK(error.about->fault == fault);
-    CHECK(error.about->place.path == path);
-    CHECK(error.about->message == message);
+    CHECK(error.details->fault == fault);
+    CHECK(error.details->location.path == path);
+    CHECK(error.details->message == message);
     CHECK(error.what() == message);
     CHECK(error.reason == message);
 }
@@ -88,19 +88,19 @@
 TEST_CASE("settings: a pair without '=' is named by its offset") {
     const parse_error error = error_of([] { read_fields("a=1 b=22 c"); });
     check_error(error, parse_fault::malformed, "", "a setting without '='");
-    CHECK(error.about->place.offset == 9);
+    CHECK(error.details->location.offset == 9);
 }
 
 TEST_CASE("JSON: errors name the offset") {
     const parse_error malformed = error_of([] { read_json(R"({"a":1,})"); });
-    check_error(malformed, parse_fault::malformed, "", "JSON: no name in an object");
-    CHECK(malformed.about->place.offset == 7);
+    check_error(malformed, parse_fault::malformed, "", "JSON: expected a member name");
+    CHECK(malformed.details->location.offset == 7);
     const parse_error deep = error_of([] { read_json(std::string(40, '[')); });
     check_error(deep, parse_fault::out_of_range, "", "JSON: nested too deep");
-    CHECK(deep.about->place.offset == 33);
+    CHECK(deep.details->location.offset == 33);
     const json value = read_json(R"({"a":"x"})");
     check_error(error_of([&] { static_cast<void>(value.number_at("a", 0)); }), parse_fault::not_a_number, "a",
-                "JSON: no number");
+                "JSON: expected a number");
 }
 
 } // namespace harrierpass
