--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -11,32 +11,32 @@
 
 using std::string_view;
 
-constexpr std::size_t max_fields = 64;          // the protocol's heads have about ten
-constexpr std::size_t max_chunk_line = 1024;    // bytes, with the chunk's extensions
+constexpr std::size_t max_fields = 64;          // heads of the protocol have about 10
+constexpr std::size_t max_chunk_line = 1024;    // bytes, including chunk extensions
 constexpr std::size_t max_trailer_size = 65536; // bytes
-constexpr std::size_t max_length_digits = 15;   // of a body's or a chunk's size; they fit into 64 bits
+constexpr std::size_t max_length_digits = 15;   // of the size of a body or a chunk, which then fits into 64 bits
 
 bool is_token(string_view text) {
-    return !text.empty() && std::all_of(text.begin(), text.end(), [](char one) {
-        return (one >= '0' && one <= '9') || (one >= 'a' && one <= 'z') || (one >= 'A' && one <= 'Z') ||
-               (one != '\0' && std::strchr("!#$%&'*+-.^_`|~", one) != nullptr);
+    return !text.empty() && std::all_of(text.begin(), text.end(), [](char c) {
+        return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') ||
+               (c != '\0' && std::strchr("!#$%&'*+-.^_`|~", c) != nullptr);
     });
 }
 
-bool is_value(string_view text) {
-    return std::none_of(text.begin(), text.end(), [](char one) {
-        return (static_cast<unsigned char>(one) < 0x20 && one != '\t') || one == 0x7F;
+bool is_field_value(string_view text) {
+    return std::none_of(text.begin(), text.end(), [](char c) {
+        return (static_cast<unsigned char>(c) < 0x20 && c != '\t') || c == 0x7F;
     });
 }
 
 string_view trim(string_view text) {
-    const auto from = text.find_first_not_of(" \t");
-    return from == string_view::npos ? string_view{}
-                                     : text.substr(from, text.find_last_not_of(" \t") + 1 - from);
+    const auto first = text.find_first_not_of(" \t");
+    return first == string_view::npos ? string_view{}
+                                      : text.substr(first, text.find_last_not_of(" \t") + 1 - first);
 }
 
-char lower(char one) {
-    return one >= 'A' && one <= 'Z' ? static_cast<char>(one + 32) : one;
+char to_lower(char c) {
+    return c >= 'A' && c <= 'Z' ? static_cast<char>(c + 32) : c;
 }
 
 // Calls `visit` with each item of a comma-separated list.
@@ -54,22 +54,22 @@
     return found;
 }
 
-template <typename Number, typename... Base> bool read_number(string_view text, Number &to, Base... base) {
-    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), to, base...);
+template <typename Number, typename... Base> bool read_number(string_view text, Number &value, Base... base) {
+    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value, base...);
     return !text.empty() && error == std::errc{} && end == text.data() + text.size();
 }
 
 } // namespace
 
-bool equals_ignoring_case(string_view one, string_view two) {
-    return std::equal(one.begin(), one.end(), two.begin(), two.end(),
-                      [](char a, char b) { return lower(a) == lower(b); });
+bool equals_ignoring_case(string_view left, string_view right) {
+    return std::equal(left.begin(), left.end(), right.begin(), right.end(),
+                      [](char a, char b) { return to_lower(a) == to_lower(b); });
 }
 
 string_view http_head::header(string_view name) const {
-    for (const auto &each : fields)
-        if (equals_ignoring_case(each.name, name))
-            return each.value;
+    for (const auto &field : fields)
+        if (equals_ignoring_case(field.name, name))
+            return field.value;
     return {};
 }
 
@@ -80,7 +80,7 @@
 }
 
 bool http_head::keeps_alive() const {
-    return minor >= 1 && std::none_of(fields.begin(), fields.end(), [](const http_field &each) {
+    return minor_version >= 1 && std::none_of(fields.begin(), fields.end(), [](const http_field &each) {
                return equals_ignoring_case(each.name, "Connection") && list_contains(each.value, "close");
            });
 }
@@ -93,20 +93,20 @@
     for (;;) {
         switch (step_) {
         case parse_step::head:
-            if (const state now = read_head(); step_ == parse_step::head)
-                return now;
+            if (const state result = read_head(); step_ == parse_step::head)
+                return result;
             break;
         case parse_step::sized_body:
-            if (const state now = read_sized_body(); step_ != parse_step::done)
-                return now;
+            if (const state result = read_sized_body(); step_ != parse_step::done)
+                return result;
             break;
         case parse_step::body_to_close:
             return read_body_to_close();
         case parse_step::done:
             return state::complete;
         default:
-            if (const state now = read_chunks(); step_ != parse_step::done)
-                return now;
+            if (const state result = read_chunks(); step_ != parse_step::done)
+                return result;
         }
     }
 }
@@ -169,18 +169,19 @@
     for (;;) {
         const string_view text(buffer_.data() + consumed_, filled_ - consumed_);
         const auto end = text.substr(0, max_head_size).find("\r\n\r\n");
-        // An empty line ahead of a request is skipped: some clients send one behind a body.
+        // Skips an empty line before a request: some clients send one after a body.
         if (kind_ == message_kind::request && text.starts_with("\r\n")) {
             consumed_ += 2;
             continue;
         }
         if (kind_ == message_kind::request && text == "\r")
             return state::incomplete;
-        // What can never be a head is refused without waiting for its end.
+        // Bytes that cannot start a head are rejected without waiting for the end of a line.
         if (!can_start_message(text))
             return state::malformed;
         if (end == string_view::npos) {
-            // What follows interim responses moves to the front, so that the next head has the whole space.
+            // The bytes after interim responses move to the front, so that the next head can use the whole
+            // buffer.
             std::memmove(buffer_.data(), text.data(), text.size());
             filled_ = text.size();
             consumed_ = 0;
@@ -191,13 +192,13 @@
         consumed_ += end + 4;
         if (kind_ == message_kind::request || head_.status >= 200)
             break;
-        // An interim response; the one that counts follows. A loop, as there may be any number.
+        // An interim response; any number of them may precede the final one.
     }
     body_start_ = consumed_;
     return begin_body();
 }
 
-// A response starts with its version, a request with a method, in capitals here.
+// A response starts with its version, in capitals; a request starts with a method, which is a token.
 bool http_reader::can_start_message(string_view text) const {
     static constexpr string_view version = "HTTP/1.";
     if (kind_ == message_kind::response)
@@ -205,8 +206,8 @@
     return text.empty() || is_token(text.substr(0, 1));
 }
 
-// Invariant: nothing is accepted that two readers would split differently, such as bare CR or LF, folded
-// lines, blanks before a colon, or two lengths (request smuggling).
+// Invariant: accepts nothing that two parsers might split differently, such as bare CR or LF, folded lines,
+// whitespace before a colon, or two lengths (request smuggling).
 bool http_reader::parse_head(string_view text) {
     head_ = {};
     for (bool is_first = true; !text.empty(); is_first = false) {
@@ -227,7 +228,7 @@
     if (colon == string_view::npos || !is_token(line.substr(0, colon)))
         return false;
     const string_view value = trim(line.substr(colon + 1));
-    if (!is_value(value) || head_.fields.size() == max_fields)
+    if (!is_field_value(value) || head_.fields.size() == max_fields)
         return false;
     head_.fields.push_back({line.substr(0, colon), value});
     return true;
@@ -236,7 +237,7 @@
 bool http_reader::parse_version(string_view text) {
     if (text != "HTTP/1.1" && text != "HTTP/1.0")
         return false;
-    head_.minor = text.back() - '0';
+    head_.minor_version = text.back() - '0';
     return true;
 }
 
@@ -247,7 +248,7 @@
     const string_view after_version = line.substr(space + 1), code = after_version.substr(0, 3);
     const bool has_three_digits =
         after_version.size() == 3 || (after_version.size() > 3 && after_version[3] == ' ');
-    return has_three_digits && is_value(after_version) && code[0] >= '1' && code[0] <= '5' &&
+    return has_three_digits && is_field_value(after_version) && code[0] >= '1' && code[0] <= '5' &&
            read_number(code, head_.status);
 }
 
@@ -260,7 +261,7 @@
     if (last_space == first_space || !parse_version(line.substr(last_space + 1)) || !is_token(head_.method))
         return false;
     head_.target = line.substr(first_space + 1, last_space - first_space - 1);
-    // The absolute form, which names the host again.
+    // The absolute form repeats the host; only its path is kept.
     static constexpr string_view scheme = "http://";
     if (equals_ignoring_case(head_.target.substr(0, scheme.size()), scheme)) {
         const auto path = head_.target.find('/', scheme.size());
@@ -269,24 +270,24 @@
     if (head_.target.empty())
         return false;
     return head_.target.front() == '/' && std::all_of(head_.target.begin(), head_.target.end(),
-                                                      [](char one) { return one > 0x20 && one < 0x7F; });
+                                                      [](char c) { return c > 0x20 && c < 0x7F; });
 }
 
 http_reader::state http_reader::begin_body() {
     int lengths = 0, codings = 0;
-    for (const auto &each : head_.fields) {
-        if (equals_ignoring_case(each.name, "Content-Length")) {
+    for (const auto &field : head_.fields) {
+        if (equals_ignoring_case(field.name, "Content-Length")) {
             ++lengths;
-            if (each.value.empty() || each.value.size() > max_length_digits || each.value.front() == '-' ||
-                !read_number(each.value, remaining_))
+            if (field.value.empty() || field.value.size() > max_length_digits || field.value.front() == '-' ||
+                !read_number(field.value, remaining_))
                 return state::malformed;
-        } else if (equals_ignoring_case(each.name, "Transfer-Encoding")) {
+        } else if (equals_ignoring_case(field.name, "Transfer-Encoding")) {
             ++codings;
-            if (!equals_ignoring_case(each.value, "chunked"))
+            if (!equals_ignoring_case(field.value, "chunked"))
                 return state::malformed;
         }
     }
-    if (lengths + codings > 1 || (codings > 0 && head_.minor == 0))
+    if (lengths + codings > 1 || (codings > 0 && head_.minor_version == 0))
         return state::malformed;
     content_length_ = remaining_;
     const bool has_no_body =
@@ -333,9 +334,9 @@
                 return state::malformed;
             step_ = parse_step::chunk_size;
         } else if (step_ == parse_step::chunk_size) {
-            if (const state begun = begin_chunk(line); begun != state::complete)
-                return begun;
-        } else if (line.empty()) { // the end of the trailers, which are not used
+            if (const state result = begin_chunk(line); result != state::complete)
+                return result;
+        } else if (line.empty()) { // the end of the trailers, which are ignored
             step_ = parse_step::done;
             return state::complete;
         }
@@ -347,7 +348,7 @@
 http_reader::state http_reader::begin_chunk(string_view line) {
     constexpr int hexadecimal = 16;
     const string_view size = trim(line.substr(0, line.find(';')));
-    if (line.size() > max_chunk_line || size.size() > max_length_digits || !is_value(line) ||
+    if (line.size() > max_chunk_line || size.size() > max_length_digits || !is_field_value(line) ||
         !read_number(size, remaining_, hexadecimal))
         return state::malformed;
     if (exceeds_limit(remaining_))
@@ -364,10 +365,10 @@
 }
 
 bool is_hop_by_hop(const http_head &head, string_view name) {
-    for (const string_view each :
+    for (const string_view hop_by_hop :
          {"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "TE",
           "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect"})
-        if (equals_ignoring_case(name, each))
+        if (equals_ignoring_case(name, hop_by_hop))
             return true;
     return std::any_of(head.fields.begin(), head.fields.end(), [&](const http_field &each) {
         return equals_ignoring_case(each.name, "Connection") && list_contains(each.value, name);
@@ -383,8 +384,8 @@
     return value / (text.back() == 'm' ? 1e3 : 1e6);
 }
 
-void append_header(std::string &to, string_view name, string_view value) {
-    to.append(name).append(": ").append(value).append("\r\n");
+void append_header(std::string &output, string_view name, string_view value) {
+    output.append(name).append(": ").append(value).append("\r\n");
 }
 
 } // namespace harrierpass
--- a/src/net/http.hpp
+++ b/src/net/http.hpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// A strict, bounded reader of HTTP/1.1 messages (RFC 9112), and helpers to write them. No I/O.
+// A strict parser of HTTP/1.1 messages (RFC 9112) with bounded memory, and helpers to write messages. Does no
+// I/O.
 #pragma once
 
 #include "net/buffer_pool.hpp"
@@ -12,144 +13,144 @@
 
 namespace harrierpass {
 
-// A header field; the value without the blanks around it.
+// A header field; the value has no surrounding whitespace.
 struct http_field {
     std::string_view name, value;
 };
 
-// The head of a message; its views point into the reader's buffer.
+// The head of a message; the views refer to the buffer of the reader.
 struct http_head {
     std::string_view method, target; // of a request
     int status = 0;                  // of a response
-    int minor = 1;                   // HTTP/1.minor
+    int minor_version = 1;           // 0 for HTTP/1.0, 1 for HTTP/1.1
     std::vector<http_field> fields;
 
-    // The value of the first field of this name, in any case; empty where there is none.
+    // Returns the value of the first field with this name, or an empty text. Names are case-insensitive.
     std::string_view header(std::string_view name) const;
-    // How many fields have this name, in any case.
+    // Number of fields with this name, case-insensitive.
     std::size_t header_count(std::string_view name) const;
-    // Whether the connection may be used for another message.
+    // Whether the connection stays open after this message.
     bool keeps_alive() const;
 };
 
-// Reads one message from a connection's bytes, in a buffer that the caller owns. The chunks of a chunked body
-// are joined in place. A body that is streamed may be longer than the buffer, which is then a window on it:
-// once it is full, the bytes there are to be used and released. Interim responses are skipped.
+// Parses one message incrementally in a buffer that the caller owns. The chunks of a chunked body are joined in
+// place. A streamed body may be longer than the buffer: once the buffer is full, the caller processes the body
+// bytes in it and calls release(). Interim responses are skipped.
 class http_reader {
 public:
-    // Which side's message is read.
     enum class message_kind : std::uint8_t { request, response };
-    // How far the message is.
+    // The progress of parsing.
     enum class state : std::uint8_t {
         incomplete,
         complete,
         malformed,
         too_large,
         truncated,  // the connection ended before the message did
-        window_full // of a streamed body
+        window_full // a streamed body fills the buffer; call release()
     };
 
-    // The first `filled` bytes of the buffer were received already.
+    // The first `filled` bytes of the buffer have already been received.
     http_reader(std::span<char> buffer, message_kind kind, std::size_t filled = 0);
 
-    // Where the next bytes go; may be empty.
+    // Where to store the next bytes; may be empty.
     std::span<char> free_space() const { return buffer_.subspan(filled_); }
-    // So many bytes were put there.
+    // Parses `count` bytes that were stored in free_space().
     state received(std::size_t count);
-    // Goes on with the bytes that are there.
+    // Continues with the bytes in the buffer.
     state parse_buffered() { return received(0); }
-    // Streams the body, of up to so many bytes.
+    // Streams a body of up to `limit` bytes.
     void stream_body(std::size_t limit) { stream_limit_ = limit; }
-    // The response is one to HEAD, which has no body whatever its head says.
+    // For a response to HEAD, which has no body even if its head announces one.
     void expect_no_body() { expects_no_body_ = true; }
-    // The body's bytes that are there have been used; their space is free.
+    // Frees the space of the body bytes in the buffer.
     void release();
-    // How many of the body's bytes were released.
+    // Number of body bytes released so far.
     std::size_t released_bytes() const { return released_size_; }
-    // The body's size in bytes, where the head tells.
+    // The size of the body in bytes if the head announces it.
     std::optional<std::size_t> content_length() const;
-    // The other side closed the connection; complete only where that marks the message's end.
+    // The peer closed the connection. Returns `complete` only if that ends the message.
     state on_peer_closed();
 
-    // Valid once has_head().
+    // Valid if has_head().
     const http_head &head() const { return head_; }
-    // Whether any byte of the message was received.
+    // Whether at least one byte of the message was received.
     bool has_begun() const { return step_ != parse_step::head || filled_ > consumed_; }
     // Whether the head is complete.
     bool has_head() const { return step_ != parse_step::head; }
-    // The body's bytes that are there.
+    // The body bytes in the buffer.
     std::string_view body() const { return {buffer_.data() + body_start_, body_size_}; }
-    // The bytes after the message.
+    // The bytes in the buffer after the message.
     std::string_view pipelined_bytes() const { return {buffer_.data() + consumed_, filled_ - consumed_}; }
 
 private:
-    // What comes next in the connection's bytes.
+    // The part of the message that is parsed next.
     enum class parse_step : std::uint8_t {
         head,
-        sized_body, // by Content-Length
+        sized_body, // framed by Content-Length
         chunk_size,
         chunk,
         chunk_end,
         trailer,
-        body_to_close, // ends with the connection
+        body_to_close, // ends when the peer closes the connection
         done
     };
-    // Reads heads up to the one that counts, skipping interim responses.
+    // Parses heads up to that of the final response, skipping interim responses.
     state read_head();
-    // Whether a message of this kind may start with these bytes.
+    // Whether a message of this kind can start with these bytes.
     bool can_start_message(std::string_view text) const;
-    // Parses lines that each end with CRLF; false where they are malformed.
+    // Parses the lines of a head, each ending with CRLF; returns false if they are malformed.
     bool parse_head(std::string_view text);
-    // Each parses a line without its CRLF, or a version, into head_; false where it is malformed.
+    // Each function parses a line without its CRLF, or a version, into head_; returns false if it is malformed.
     bool parse_field(std::string_view line);
     bool parse_version(std::string_view text);
     bool parse_status_line(std::string_view line);
     bool parse_request_line(std::string_view line);
-    // Decides by the head how the body's end is found (RFC 9112, section 6).
+    // Determines the framing of the body from the head (RFC 9112, section 6).
     state begin_body();
-    // Takes what there is of a body or a chunk, up to `remaining_`; returns its size.
+    // Consumes up to remaining_ bytes of the body or the current chunk; returns how many.
     std::size_t take_remaining();
-    // Each reads what is there of a body of its framing, and returns how far the message is then.
+    // Each function parses the buffered part of a body with its framing and returns the progress.
     state read_sized_body();
     state read_body_to_close();
     state read_chunks();
-    // Parses a chunk's size line; complete stands for a valid one.
+    // Parses the size line of a chunk; returns `complete` if it is valid.
     state begin_chunk(std::string_view line);
-    // Moves the unread bytes up to the body's end, so that the space after them is the body's.
+    // Moves the unread bytes to the end of the joined body, so that the free space follows them.
     void compact_body();
-    // The state where bytes are missing: incomplete, or what a full buffer means.
+    // The state if bytes are missing: `incomplete`, or with a full buffer `window_full` or `too_large`.
     state wait_for_more() const;
-    // Whether `size` more bytes of the body are too many.
+    // Whether `size` more body bytes exceed the limit.
     bool exceeds_limit(std::size_t size) const;
-    // Takes the next line of a chunked body, without its CRLF; false where it is not there yet.
+    // Consumes the next line of a chunked body without its CRLF; returns false if it is not complete yet.
     bool take_line(std::string_view &line);
 
     std::span<char> buffer_;
     message_kind kind_;
     parse_step step_ = parse_step::head;
     http_head head_;
-    std::size_t filled_;             // bytes received, less those moved away
-    std::size_t consumed_ = 0;       // of them, bytes parsed as this message's
-    std::size_t body_start_ = 0;     // of the body's bytes that are there
-    std::size_t body_size_ = 0;      // of the body's bytes that are there
-    std::size_t released_size_ = 0;  // bytes of the body, released
-    std::size_t content_length_ = 0; // as the head tells
+    std::size_t filled_;             // bytes in the buffer
+    std::size_t consumed_ = 0;       // bytes in the buffer that were parsed as part of this message
+    std::size_t body_start_ = 0;     // offset of the body bytes in the buffer
+    std::size_t body_size_ = 0;      // number of body bytes in the buffer
+    std::size_t released_size_ = 0;  // number of body bytes released
+    std::size_t content_length_ = 0; // as announced by the head
     std::size_t stream_limit_ = 0;   // bytes of a streamed body; 0: the body has to fit into the buffer
     bool expects_no_body_ = false;
-    std::size_t remaining_ = 0;    // bytes of a sized body or of the current chunk
-    std::size_t trailer_size_ = 0; // bytes of trailers read
+    std::size_t remaining_ = 0;    // bytes left of a sized body or of the current chunk
+    std::size_t trailer_size_ = 0; // bytes of trailers parsed
 };
 
-// Whether two ASCII texts are equal but for the case.
-bool equals_ignoring_case(std::string_view one, std::string_view two);
+// Compares ASCII texts.
+bool equals_ignoring_case(std::string_view left, std::string_view right);
 
-// Whether a field belongs to one connection only, or is written anew by each hop.
+// Whether a field applies to one connection only or is rewritten by each hop.
 bool is_hop_by_hop(const http_head &head, std::string_view name);
 
-// The seconds in a text such as "480m" or "480000u"; negative where it is none.
+// Parses a duration such as "480m" (milliseconds) or "480000u" (microseconds). Returns seconds, or a negative
+// value if the text is malformed.
 double parse_timeout(std::string_view text);
 
-// Appends a header field's line.
-void append_header(std::string &to, std::string_view name, std::string_view value);
+// Appends the line of a header field.
+void append_header(std::string &output, std::string_view name, std::string_view value);
 
 } // namespace harrierpass
--- a/src/net/sockets.cpp
+++ b/src/net/sockets.cpp
@@ -16,7 +16,7 @@
 namespace harrierpass {
 namespace {
 
-constexpr double no_buffer_retry = 0.002; // s, for want of the system's memory
+constexpr double no_buffer_retry = 0.002; // s between attempts to write while the system has no buffer
 constexpr int listen_backlog = 1024;      // connections
 
 void set_flag(int fd, int level, int name) {
@@ -24,7 +24,7 @@
     setsockopt(fd, level, name, &enabled, sizeof enabled);
 }
 
-// Waits for a connection that is being set up; its error number, 0 once it is up.
+// Waits for a connection attempt to finish; returns its errno, or 0 on success.
 int connect_result(const tcp_socket &connection, double limit) {
     pollfd writable{connection.get(), POLLOUT, 0};
     const double deadline = steady_now() + limit;
@@ -39,7 +39,7 @@
     return ::getsockopt(connection.get(), SOL_SOCKET, SO_ERROR, &error, &size) == 0 ? error : errno;
 }
 
-// Limits the time of connect() and of blocking writes.
+// Limits the duration of connect() and of blocking writes.
 void set_send_timeout(const tcp_socket &connection, double limit) {
     constexpr suseconds_t min_timeout = 1000; // us; 0 would mean no limit
     timeval timeout{};
@@ -49,12 +49,12 @@
     setsockopt(connection.get(), SOL_SOCKET, SO_SNDTIMEO, &timeout, sizeof timeout);
 }
 
-// Whether a call may succeed when it is made again: interrupted, or no space in the system's buffers.
+// Whether a call may succeed if repeated: it was interrupted, would block, or the system had no buffer space.
 bool is_transient(int error) {
     return error == EAGAIN || error == EWOULDBLOCK || error == EINTR || error == ENOBUFS || error == ENOMEM;
 }
 
-// The result of a call that ended with this errno.
+// The result of a call that failed with this errno.
 io_result io_error(int error) {
     return {.status = is_transient(error) ? io_status::would_block : io_status::failed, .error = error};
 }
@@ -82,15 +82,15 @@
         return std::nullopt;
     address result;
     std::copy_n(reinterpret_cast<const char *>(found->ai_addr), found->ai_addrlen,
-                reinterpret_cast<char *>(&result.where));
+                reinterpret_cast<char *>(&result.storage));
     result.size = found->ai_addrlen;
     freeaddrinfo(found);
     return result;
 }
 
-std::string to_text(const address &from) {
+std::string to_text(const address &value) {
     char host[INET6_ADDRSTRLEN] = "?", port[8] = "?";
-    getnameinfo(reinterpret_cast<const sockaddr *>(&from.where), from.size, host, sizeof host, port,
+    getnameinfo(reinterpret_cast<const sockaddr *>(&value.storage), value.size, host, sizeof host, port,
                 sizeof port, NI_NUMERICHOST | NI_NUMERICSERV);
     return std::string(host) + ":" + port;
 }
@@ -105,7 +105,7 @@
     case EADDRINUSE:
     case ENETUNREACH: // no route from here
     case ENETDOWN:
-    case EPERM: // a rule of this machine's
+    case EPERM: // forbidden by a rule of this machine
     case EACCES:
         return true;
     default:
@@ -113,22 +113,22 @@
     }
 }
 
-tcp_socket socket_for(const address &to) {
-    return tcp_socket(::socket(to.where.ss_family, SOCK_STREAM | SOCK_CLOEXEC, 0));
+tcp_socket socket_for(const address &target) {
+    return tcp_socket(::socket(target.storage.ss_family, SOCK_STREAM | SOCK_CLOEXEC, 0));
 }
 
-tcp_socket dial(const address &to, double limit, tcp_socket prepared) {
-    tcp_socket connection = prepared ? std::move(prepared) : socket_for(to);
+tcp_socket dial(const address &target, double limit, tcp_socket prepared) {
+    tcp_socket connection = prepared ? std::move(prepared) : socket_for(target);
     if (!connection)
         return connection;
     set_flag(connection.get(), IPPROTO_TCP, TCP_NODELAY);
     set_send_timeout(connection, limit);
-    if (::connect(connection.get(), reinterpret_cast<const sockaddr *>(&to.where), to.size) == 0)
+    if (::connect(connection.get(), reinterpret_cast<const sockaddr *>(&target.storage), target.size) == 0)
         return connection;
     int error = errno;
-    if (error == EINTR) // it goes on by itself (connect(2))
+    if (error == EINTR) // the connection attempt continues asynchronously (connect(2))
         error = connect_result(connection, limit);
-    else if (error == EAGAIN) // no port of this machine is free
+    else if (error == EAGAIN) // no local port is free
         error = EADDRNOTAVAIL;
     if (error != 0)
         connection.close();
@@ -136,14 +136,14 @@
     return connection;
 }
 
-tcp_socket listen_on(const address &at, bool shared) {
-    tcp_socket listener(::socket(at.where.ss_family, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
+tcp_socket listen_on(const address &local, bool shared) {
+    tcp_socket listener(::socket(local.storage.ss_family, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
     if (!listener)
         return listener;
-    set_flag(listener.get(), SOL_SOCKET, SO_REUSEADDR); // the address is the same after a restart
+    set_flag(listener.get(), SOL_SOCKET, SO_REUSEADDR); // a restart binds the same address again
     if (shared)
         set_flag(listener.get(), SOL_SOCKET, SO_REUSEPORT);
-    if (::bind(listener.get(), reinterpret_cast<const sockaddr *>(&at.where), at.size) != 0 ||
+    if (::bind(listener.get(), reinterpret_cast<const sockaddr *>(&local.storage), local.size) != 0 ||
         ::listen(listener.get(), listen_backlog) != 0) {
         const int error = errno;
         listener.close();
@@ -152,20 +152,20 @@
     return listener;
 }
 
-address local_address(const tcp_socket &connection) {
-    address at;
-    at.size = sizeof at.where;
-    getsockname(connection.get(), reinterpret_cast<sockaddr *>(&at.where), &at.size);
-    return at;
+address local_address(const tcp_socket &socket) {
+    address local;
+    local.size = sizeof local.storage;
+    getsockname(socket.get(), reinterpret_cast<sockaddr *>(&local.storage), &local.size);
+    return local;
 }
 
 tcp_socket accept_on(const tcp_socket &listener, address &peer) {
-    peer.size = sizeof peer.where;
+    peer.size = sizeof peer.storage;
     tcp_socket connection(
-        ::accept4(listener.get(), reinterpret_cast<sockaddr *>(&peer.where), &peer.size, SOCK_CLOEXEC));
+        ::accept4(listener.get(), reinterpret_cast<sockaddr *>(&peer.storage), &peer.size, SOCK_CLOEXEC));
     if (connection) {
         set_flag(connection.get(), IPPROTO_TCP, TCP_NODELAY);
-        set_flag(connection.get(), SOL_SOCKET, SO_KEEPALIVE); // a client's machine may vanish while idle
+        set_flag(connection.get(), SOL_SOCKET, SO_KEEPALIVE); // detects a peer machine that failed while idle
     }
     return connection;
 }
@@ -180,9 +180,9 @@
     if (written < 0)
         return io_error(errno);
     const auto size = static_cast<std::size_t>(written);
-    const std::size_t of_head = std::min(size, head.size());
-    head.remove_prefix(of_head);
-    body.remove_prefix(size - of_head);
+    const std::size_t head_bytes = std::min(size, head.size());
+    head.remove_prefix(head_bytes);
+    body.remove_prefix(size - head_bytes);
     return {.status = size > 0 ? io_status::progressed : io_status::would_block, .size = size};
 }
 
@@ -194,7 +194,7 @@
             return false;
         if (written.status == io_status::progressed)
             continue;
-        // Without system memory the socket itself has space, so that waiting for it would end at once.
+        // If the system has no buffers, the socket itself may be writable, and polling it would return at once.
         const bool no_buffer = written.error == ENOBUFS || written.error == ENOMEM;
         pollfd writable{connection.get(), POLLOUT, 0};
         const double left = deadline - steady_now();
@@ -208,8 +208,8 @@
     return true;
 }
 
-io_result read_some(const tcp_socket &connection, char *to, std::size_t size) {
-    const auto received = ::recv(connection.get(), to, size, MSG_DONTWAIT);
+io_result read_some(const tcp_socket &connection, char *buffer, std::size_t size) {
+    const auto received = ::recv(connection.get(), buffer, size, MSG_DONTWAIT);
     if (received < 0)
         return io_error(errno);
     if (received == 0)
--- a/src/net/sockets.hpp
+++ b/src/net/sockets.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// TCP sockets as values. Reads and writes never block; waiting is wait_on()'s (threads.hpp). Where a function
-// returns an empty socket, errno tells why. Times are seconds.
+// TCP sockets as value types. Reads and writes never block; wait_on() (threads.hpp) waits. If a function returns
+// an empty socket, errno has the error. Times are in seconds.
 #pragma once
 
 #include <cstddef>
@@ -13,27 +13,26 @@
 
 namespace harrierpass {
 
-// Owns a socket's descriptor, or none.
+// Owns a file descriptor, or none.
 class tcp_socket {
 public:
     tcp_socket() = default;
-    // Owns the descriptor from now on; -1: none.
+    // Takes ownership of the descriptor; -1 means none.
     explicit tcp_socket(int fd) : fd_(fd) {}
     tcp_socket(const tcp_socket &) = delete;
     tcp_socket &operator=(const tcp_socket &) = delete;
-    // A socket that was moved from owns none.
-    tcp_socket(tcp_socket &&that) noexcept : fd_(std::exchange(that.fd_, -1)) {}
-    // Exchanges the descriptors: `that` closes the one that was owned here.
-    tcp_socket &operator=(tcp_socket &&that) noexcept {
-        std::swap(fd_, that.fd_);
+    // A moved-from socket owns no descriptor.
+    tcp_socket(tcp_socket &&other) noexcept : fd_(std::exchange(other.fd_, -1)) {}
+    // Swaps the descriptors: `other` closes the previous descriptor of this socket.
+    tcp_socket &operator=(tcp_socket &&other) noexcept {
+        std::swap(fd_, other.fd_);
         return *this;
     }
     ~tcp_socket() { close(); }
-    // Closes the descriptor, if there is one.
+    // Closes the descriptor if there is one.
     void close();
-    // The descriptor; -1 where there is none.
+    // The descriptor, or -1.
     int get() const { return fd_; }
-    // Whether there is a descriptor.
     explicit operator bool() const { return fd_ >= 0; }
 
 private:
@@ -42,72 +41,73 @@
 
 // An IP address with a port.
 struct address {
-    sockaddr_storage where{};
+    sockaddr_storage storage{};
     socklen_t size = 0;
 };
 
-// From "127.0.0.1:9000" or "[::1]:9000"; names are not looked up.
+// Parses "127.0.0.1:9000" or "[::1]:9000"; host names are not resolved.
 std::optional<address> parse_address(std::string_view text);
 
-// The address as "HOST:PORT", an IPv6 host without its brackets.
-std::string to_text(const address &from);
+// Formats the address as "HOST:PORT"; an IPv6 host has no brackets.
+std::string to_text(const address &value);
 
-// Whether a call failed for want of something on this machine (descriptor, buffer, memory, port, route),
-// which says nothing of the other side. `error` is an errno.
+// Whether a system call failed because of a shortage on this machine (descriptor, buffer, memory, port, route),
+// which does not indicate a fault of the peer. `error` is an errno.
 bool is_local_shortage(int error);
 
-// A socket for a later dial(), which then needs no descriptor.
-tcp_socket socket_for(const address &to);
+// Creates an unconnected socket for a later dial(), which then needs no new descriptor.
+tcp_socket socket_for(const address &target);
 
-// Connects within `limit` s; a later connection counts as failed. `prepared`: from socket_for(), or none.
-tcp_socket dial(const address &to, double limit, tcp_socket prepared = {});
+// Connects within `limit` s, otherwise fails. `prepared` is an empty socket or one from socket_for().
+tcp_socket dial(const address &target, double limit, tcp_socket prepared = {});
 
-// Listens without blocking. `shared`: other processes of this user may listen there, too.
-tcp_socket listen_on(const address &at, bool shared = false);
+// Creates a non-blocking listening socket. With `shared`, other processes of this user may listen on the same
+// address.
+tcp_socket listen_on(const address &local, bool shared = false);
 
-// The address that the socket is bound to.
-address local_address(const tcp_socket &connection);
+// The address to which the socket is bound.
+address local_address(const tcp_socket &socket);
 
-// Accepts a connection; empty also where none is waiting.
+// Accepts a connection; returns an empty socket also if none is waiting.
 tcp_socket accept_on(const tcp_socket &listener, address &peer);
 
-// How one read or write, which does not wait, ended.
+// The status of one non-blocking read or write.
 enum class io_status : std::uint8_t {
     progressed,  // bytes were read or written
-    would_block, // none now: try again later
-    closed,      // a read only: the other side closed, and no more bytes come
+    would_block, // no bytes now: try again later
+    closed,      // of a read: the peer closed the connection, no more bytes will arrive
     failed       // the connection is broken
 };
 
 // The result of one read or write.
 struct io_result {
     io_status status = io_status::failed;
-    std::size_t size = 0; // bytes read or written; 0 unless it progressed
-    int error = 0;        // an errno, where it would block or failed
+    std::size_t size = 0; // bytes read or written; 0 unless `progressed`
+    int error = 0;        // an errno if `would_block` or `failed`
 };
 
-// Writes what there is space for now, the head first, and takes it off both.
+// Writes as many bytes as the socket accepts now, the head first, and removes them from `head` and `body`.
 [[nodiscard]] io_result write_some(const tcp_socket &connection, std::string_view &head,
                                    std::string_view &body);
 
-// Writes all of both within `limit` s; returns whether it could.
+// Writes the whole head and body within `limit` s; returns whether it succeeded.
 bool write_all(const tcp_socket &connection, std::string_view head, std::string_view body, double limit);
 
-// Reads what is there now, up to `size` bytes.
-[[nodiscard]] io_result read_some(const tcp_socket &connection, char *to, std::size_t size);
+// Reads the available bytes, `size` at most.
+[[nodiscard]] io_result read_some(const tcp_socket &connection, char *buffer, std::size_t size);
 
-// A read's result as one number, for callers that pass it on: bytes; 0: closed; -1: failed; -2: would block.
+// Encodes the result of a read as one number: bytes read, 0 if closed, -1 if failed, -2 if it would block.
 [[nodiscard]] long as_number(const io_result &received);
 
-// Closes a connection on which the other side may still read what it was sent: shuts our side down, and reads
-// and drops what comes until the other side closes, for at most `limit` s and `max_dropped` bytes. Closing
-// over unread bytes would reset the connection, which destroys the bytes on their way.
+// Closes a connection whose peer may still be reading: shuts down the sending direction, then reads and drops
+// bytes until the peer closes, for at most `limit` s and `max_dropped` bytes. A close with unread bytes would
+// reset the connection and destroy the bytes in transit to the peer.
 void close_gracefully(tcp_socket &connection, double limit, std::size_t max_dropped);
 
-// What waits to be read.
+// The state of the receiving direction.
 enum class peek_result { empty, data, closed, reset };
 
-// Looks without reading.
+// Determines the state without consuming bytes.
 peek_result peek(const tcp_socket &connection);
 
 } // namespace harrierpass
--- a/src/net/threads.cpp
+++ b/src/net/threads.cpp
@@ -14,10 +14,10 @@
 namespace {
 
 constexpr int wake_signal = SIGUSR2;
-constexpr double thread_start_limit = 2; // s, for a thread without which the program cannot run
+constexpr double thread_start_limit = 2; // s; joined threads are required for the program to run
 constexpr std::chrono::milliseconds thread_start_retry{10};
 constexpr std::size_t stack_size =
-    256UL * 1024; // bytes of address space, of which a request uses some 20 KiB
+    256UL * 1024; // bytes of address space; a request uses about 20 KiB
 
 sigset_t all_signals() {
     sigset_t signals;
@@ -25,7 +25,7 @@
     return signals;
 }
 
-// The delivery alone ends a wait.
+// Empty: the delivery of the signal ends a wait.
 void on_wake_signal(int) {}
 
 void install_wake_signal_handler() {
@@ -37,30 +37,30 @@
     });
 }
 
-void *run(void *argument) {
+void *run_thread(void *argument) {
     const std::unique_ptr<std::function<void()>> body(static_cast<std::function<void()> *>(argument));
     (*body)();
     return nullptr;
 }
 
-// Starts a thread; returns an error number, or 0.
-int start(pthread_t &id, std::function<void()> body, int detach_state) {
+// Returns an errno, or 0 on success.
+int create_thread(pthread_t &id, std::function<void()> body, int detach_state) {
     install_wake_signal_handler();
     auto argument = std::make_unique<std::function<void()>>(std::move(body));
     pthread_attr_t attributes;
     pthread_attr_init(&attributes);
     pthread_attr_setstacksize(&attributes, stack_size);
     pthread_attr_setdetachstate(&attributes, detach_state);
-    // The thread inherits a mask that blocks every signal; only wait_on() lets one in, so that no other
-    // system call is interrupted.
+    // The thread inherits a mask that blocks all signals; only wait_on() unblocks the wake signal, so that no
+    // other system call is interrupted.
     const sigset_t blocked = all_signals();
     sigset_t previous;
     pthread_sigmask(SIG_SETMASK, &blocked, &previous);
-    const int error = pthread_create(&id, &attributes, run, argument.get());
+    const int error = pthread_create(&id, &attributes, run_thread, argument.get());
     pthread_sigmask(SIG_SETMASK, &previous, nullptr);
     pthread_attr_destroy(&attributes);
     if (error == 0)
-        static_cast<void>(argument.release()); // run() owns it
+        static_cast<void>(argument.release()); // run_thread() owns it
     return error;
 }
 
@@ -90,20 +90,20 @@
 
 bool start_detached(std::function<void()> body) {
     pthread_t id;
-    return start(id, std::move(body), PTHREAD_CREATE_DETACHED) == 0;
+    return create_thread(id, std::move(body), PTHREAD_CREATE_DETACHED) == 0;
 }
 
 joined_thread::joined_thread(const std::function<void()> &body) {
-    // Where the system is short of threads for the moment, it is tried again for a while.
+    // Retries while the system temporarily cannot create threads.
     const double deadline = steady_now() + thread_start_limit;
     int error = EAGAIN;
     while (error == EAGAIN && steady_now() < deadline) {
-        error = start(id_, body, PTHREAD_CREATE_JOINABLE);
+        error = create_thread(id_, body, PTHREAD_CREATE_JOINABLE);
         if (error == EAGAIN)
             std::this_thread::sleep_for(thread_start_retry);
     }
     if (error != 0)
-        throw std::system_error(error, std::generic_category(), "no thread");
+        throw std::system_error(error, std::generic_category(), "cannot start a thread");
 }
 
 joined_thread::~joined_thread() {
--- a/src/testbed/links/datagram_relay.cpp
+++ b/src/testbed/links/datagram_relay.cpp
@@ -40,7 +40,7 @@
     socket_ = tcp_socket(::socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
     const address any = ipv4(INADDR_ANY, 0);
     const int on = 1;
-    if (!socket_ || ::bind(socket_.get(), reinterpret_cast<const sockaddr *>(&any.where), any.size) != 0 ||
+    if (!socket_ || ::bind(socket_.get(), reinterpret_cast<const sockaddr *>(&any.storage), any.size) != 0 ||
         setsockopt(socket_.get(), IPPROTO_IP, IP_PKTINFO, &on, sizeof on) != 0)
         throw std::system_error(errno, std::generic_category(), "no socket for datagrams");
     port_ = port_of(local_address(socket_));
@@ -82,7 +82,7 @@
             return;
         arrival datagram;
         datagram.bytes.assign(bytes.data(), static_cast<std::size_t>(got));
-        std::memcpy(&datagram.sender.where, &from, sizeof from);
+        std::memcpy(&datagram.sender.storage, &from, sizeof from);
         datagram.sender.size = sizeof from;
         datagram.sent_to = destination_of(message);
         route(datagram);
@@ -141,7 +141,7 @@
     iovec part{const_cast<char *>(bytes.data()), bytes.size()};
     alignas(cmsghdr) std::array<char, CMSG_SPACE(sizeof(in_pktinfo))> extra{};
     msghdr message{};
-    message.msg_name = &target.where;
+    message.msg_name = &target.storage;
     message.msg_namelen = target.size;
     message.msg_iov = &part;
     message.msg_iovlen = 1;
@@ -152,7 +152,7 @@
     head->cmsg_type = IP_PKTINFO;
     head->cmsg_len = CMSG_LEN(sizeof(in_pktinfo));
     in_pktinfo info{};
-    info.ipi_spec_dst = reinterpret_cast<const sockaddr_in *>(&source.where)->sin_addr;
+    info.ipi_spec_dst = reinterpret_cast<const sockaddr_in *>(&source.storage)->sin_addr;
     std::memcpy(CMSG_DATA(head), &info, sizeof info);
     if (::sendmsg(socket_.get(), &message, MSG_DONTWAIT | MSG_NOSIGNAL) >= 0)
         ++counters_.delivered;
--- a/src/testbed/loop/channel.cpp
+++ b/src/testbed/loop/channel.cpp
@@ -12,7 +12,7 @@
 
 address ipv4(std::uint32_t where, int port) {
     address made;
-    auto *const to = reinterpret_cast<sockaddr_in *>(&made.where);
+    auto *const to = reinterpret_cast<sockaddr_in *>(&made.storage);
     to->sin_family = AF_INET;
     to->sin_addr.s_addr = htonl(where);
     to->sin_port = htons(static_cast<std::uint16_t>(port));
@@ -21,16 +21,16 @@
 }
 
 int port_of(const address &of) {
-    return ntohs(reinterpret_cast<const sockaddr_in *>(&of.where)->sin_port);
+    return ntohs(reinterpret_cast<const sockaddr_in *>(&of.storage)->sin_port);
 }
 
 tcp_socket start_connecting(const address &to) {
-    tcp_socket made(::socket(to.where.ss_family, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
+    tcp_socket made(::socket(to.storage.ss_family, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
     if (!made)
         return made;
     const int on = 1;
     setsockopt(made.get(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-    if (::connect(made.get(), reinterpret_cast<const sockaddr *>(&to.where), to.size) != 0 &&
+    if (::connect(made.get(), reinterpret_cast<const sockaddr *>(&to.storage), to.size) != 0 &&
         errno != EINPROGRESS)
         made.close();
     return made;
--- a/src/testbed/processes/fleet_ports.cpp
+++ b/src/testbed/processes/fleet_ports.cpp
@@ -97,7 +97,7 @@
         // Its port is any that is free now; nobody else in the run binds at this address.
         const tcp_socket probe(::socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
         const address at = worker_address(first_peer_address + i, 0);
-        if (!probe || ::bind(probe.get(), reinterpret_cast<const sockaddr *>(&at.where), at.size) != 0)
+        if (!probe || ::bind(probe.get(), reinterpret_cast<const sockaddr *>(&at.storage), at.size) != 0)
             throw std::system_error(errno, std::generic_category(), "no address for a proxy's datagrams");
         peers_.push_back(local_address(probe));
     }
--- a/tests/support/stand.hpp
+++ b/tests/support/stand.hpp
@@ -37,7 +37,7 @@
 struct full_backlog_server {
     full_backlog_server() {
         const address any = *parse_address("127.0.0.1:0");
-        REQUIRE(::bind(listener.get(), reinterpret_cast<const sockaddr *>(&any.where), any.size) == 0);
+        REQUIRE(::bind(listener.get(), reinterpret_cast<const sockaddr *>(&any.storage), any.size) == 0);
         REQUIRE(::listen(listener.get(), 0) == 0);
         backlog_filler = dial(local_address(listener), 1);
         REQUIRE(backlog_filler);
@@ -82,8 +82,8 @@
         if (!options.start_proxy)
             return;
         proxy = std::make_unique<service>(read_configuration(config), log_output, log_level::debug);
-        port = ntohs(reinterpret_cast<const sockaddr_in &>(proxy->at().where).sin_port);
-        control_port = ntohs(reinterpret_cast<const sockaddr_in &>(proxy->control_address().where).sin_port);
+        port = ntohs(reinterpret_cast<const sockaddr_in &>(proxy->at().storage).sin_port);
+        control_port = ntohs(reinterpret_cast<const sockaddr_in &>(proxy->control_address().storage).sin_port);
         while (!is_ready())
             std::this_thread::yield();
     }
--- a/tests/testbed/many_test.cpp
+++ b/tests/testbed/many_test.cpp
@@ -295,15 +295,15 @@
             at = local_address(socket);
         }
         void say(const address &to, const std::string &what) {
-            ::sendto(socket.get(), what.data(), what.size(), 0, reinterpret_cast<const sockaddr *>(&to.where),
+            ::sendto(socket.get(), what.data(), what.size(), 0, reinterpret_cast<const sockaddr *>(&to.storage),
                      to.size);
         }
         void read() {
             std::array<char, 512> part{};
             address from;
-            from.size = sizeof from.where;
+            from.size = sizeof from.storage;
             for (long got; (got = ::recvfrom(socket.get(), part.data(), part.size(), 0,
-                                             reinterpret_cast<sockaddr *>(&from.where), &from.size)) >= 0;) {
+                                             reinterpret_cast<sockaddr *>(&from.storage), &from.size)) >= 0;) {
                 heard.append(part.data(), static_cast<std::size_t>(got));
                 sender = to_text(from);
             }
