--- a/src/proxy/operations/control_server.hpp
+++ b/src/proxy/operations/control_server.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// The operators' HTTP interface: an address of its own, one request to a connection, answered from one thread
-// that waits for no client's request.
+// The HTTP interface for operators, on an address of its own. Handles one request per connection, in a single
+// thread that never blocks on a client's request.
 #pragma once
 
 #include "net/http.hpp"
@@ -16,60 +16,61 @@
 
 namespace harrierpass::proxy {
 
-// What the requests do. None may wait for long.
+// The actions behind the requests. None may block for long.
 struct control_handlers {
-    std::function<bool()> ready;          // whether clients are accepted
+    std::function<bool()> ready;          // whether the proxy accepts clients
     std::function<std::string()> metrics; // the metrics page
-    // False: no endpoint has that id.
+    // Returns false if no endpoint has that id.
     std::function<bool(const std::string &id)> disable_endpoint, enable_endpoint;
-    std::function<void(bool draining)> set_draining; // sends clients away, or takes them again
+    // Makes clients go to other proxies, or accepts them again.
+    std::function<void(bool draining)> set_draining;
 };
 
-// Runs its own thread for as long as it lives.
+// Runs a thread of its own until it is destroyed.
 class control_server {
 public:
-    static constexpr std::size_t max_connections = 32; // at a time; a further one replaces the oldest
+    static constexpr std::size_t max_connections = 32; // concurrent; one more replaces the oldest
 
-    // Starts the thread. The handlers are called by it.
-    control_server(tcp_socket listening, control_handlers handlers);
-    // Ends the thread; requests that were not answered are dropped.
+    // Starts the thread, which calls the handlers.
+    control_server(tcp_socket listener, control_handlers handlers);
+    // Stops the thread and drops requests without a response.
     ~control_server();
     control_server(const control_server &) = delete;
     control_server &operator=(const control_server &) = delete;
 
-    // The address that it listens on.
-    [[nodiscard]] address at() const { return local_address(socket_); }
+    [[nodiscard]] address listen_address() const { return local_address(listener_); }
 
 private:
-    // An operator's connection.
+    // The connection of an operator.
     struct client {
         tcp_socket socket;
-        double since; // accepted, or answered; s of the steady clock
+        double timeout_start; // when it was accepted or its response was sent; s of the steady clock
         std::vector<char> buffer;
         std::optional<http_reader> reader;
-        bool answered = false; // what else it sends is discarded until it closes, or for a while
+        bool response_sent = false; // further bytes are discarded until the client closes or times out
     };
-    // A response; `fields` are whole header lines.
+    // `fields` are complete header lines.
     struct response {
         int status;
         std::string body;
         std::string fields = {};
     };
 
-    // The thread: accepts, reads and answers until the end.
+    // The body of the thread: accepts connections and handles requests until the destructor runs.
     void run();
-    // Accepts until none is waiting, and reads from each at once.
-    void accept_all();
-    bool read_request(client &from); // false: its connection is to close
-    // Carries out a request; the response to it.
+    // Accepts all waiting connections and reads from each immediately.
+    void accept_clients();
+    // Returns false if the connection has to be closed.
+    bool read_request(client &connection);
+    // Performs a request and returns the response.
     response handle(const http_head &request) const;
-    // Writes a response; from then on the connection is only read until it closes.
-    void answer(client &to, const response &content);
+    // Sends a response; afterwards the connection is only read until the client closes it.
+    void send_response(client &connection, const response &content);
 
-    tcp_socket socket_;
+    tcp_socket listener_;
     const control_handlers handlers_;
-    std::list<client> clients_; // the oldest first; the thread's own
-    std::atomic<bool> over_ = false;
+    std::list<client> clients_; // the oldest first; accessed by the thread alone
+    std::atomic<bool> stopping_ = false;
     std::optional<joined_thread> thread_;
 };
 
--- a/src/proxy/operations/hot_restart.hpp
+++ b/src/proxy/operations/hot_restart.hpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-// Hot restart: the process that serves hands its listening socket and its operators' state to its successor
-// over a local socket. Until one of them ends, both exchange operators' commands and what they use of the
-// limits that they share.
+// Hot restart: the serving process passes its listening socket and the state set by operators to its successor
+// over a local socket. Until one of them ends, both processes exchange the commands of operators and their usage
+// of shared limits.
 #pragma once
 
 #include "net/sockets.hpp"
@@ -21,62 +21,65 @@
 
 namespace harrierpass::proxy {
 
-// A message between two processes of one proxy. The kinds' letters on the wire, which releases share, are in
-// one table in hot_restart.cpp.
+// A message between two processes of one proxy. hot_restart.cpp has the table of the letters that stand for the
+// kinds on the wire; different releases have to agree on them.
 struct peer_message {
-    // What the message says, and what its text is.
+    // The kind of message and the content of its text.
     enum class kind : std::uint8_t {
-        hello,               // a successor asks for the socket; the answer is the state
-        endpoint_disabled,   // text: its id
-        endpoint_enabled,    // text: its id
+        hello,               // a successor requests the listening socket; the response is the state
+        endpoint_disabled,   // text: the endpoint's id
+        endpoint_enabled,    // text: the endpoint's id
         endpoint_enabled_at, // text: "SECONDS ID", Unix time
-        draining,            // text: clients are sent away ("1") or not ("0")
+        draining,            // text: "1" if clients are sent to other proxies, otherwise "0"
         ready,               // the successor accepts clients
         usage,               // text: "DESCRIPTORS CLIENTS"
-        done                 // a message was carried out
+        done                 // acknowledges a message that was processed
     };
     kind type;
     std::string text;
 };
-// What processes use of the limits that hold for all processes of one proxy together.
+
+// Usage of the limits that all processes of one proxy share.
 struct shared_usage {
     std::size_t descriptors = 0, clients = 0;
-    bool has_peers = false; // there are other processes
+    bool has_peers = false; // other processes of this proxy exist
 };
+
 // The text of a `usage` message.
 [[nodiscard]] std::string to_text(const shared_usage &usage);
 
-// Several messages in the form in which they are sent together, and back. Reading throws parse_error.
+// Encodes several messages that are sent together.
 [[nodiscard]] std::string to_message(const std::vector<peer_message> &messages);
-// The messages in a text; see to_message().
+
+// Decodes the result of to_message(). Throws parse_error.
 [[nodiscard]] std::vector<peer_message> read_message(std::string_view text);
 
-// Runs its own thread from run() on. broadcast() and has_successor() may be called from any thread.
+// Runs a thread of its own after run(). broadcast() and has_successor() may be called from any thread.
 class hot_restart {
 public:
-    // Called by its thread.
+    // Called by the thread.
     struct callbacks {
-        std::function<std::vector<peer_message>()> state;        // for a successor
-        std::function<void(const peer_message &)> on_message;    // carries it out
-        std::function<shared_usage()> local_usage;               // of this process
-        std::function<void(const shared_usage &)> on_peer_usage; // of the others
+        std::function<std::vector<peer_message>()> state;        // the state for a successor
+        std::function<void(const peer_message &)> on_message;    // processes a message
+        std::function<shared_usage()> local_usage;               // the usage of this process
+        std::function<void(const shared_usage &)> on_peer_usage; // receives the usage of all peers
     };
 
-    // `directory`: where the local socket is; `listen`: whose proxy this is.
+    // `directory` has the local socket; `listen` is the listening address, which identifies the proxy.
     hot_restart(std::string directory, const std::string &listen);
-    // Ends the thread and closes the connections to the other processes.
+    // Stops the thread and closes the connections to the peers.
     ~hot_restart();
     hot_restart(const hot_restart &) = delete;
     hot_restart &operator=(const hot_restart &) = delete;
 
-    // As a successor, before run(): the listening socket of the process that serves, and its state; empty: no
-    // process answers.
+    // Requests the listening socket and the state of the serving process; empty if no process responds. Call
+    // before run().
     [[nodiscard]] std::optional<std::pair<tcp_socket, std::vector<peer_message>>> take_over();
-    // Starts to exchange messages. `listening` is handed to successors and must outlive this.
-    void run(callbacks functions, const tcp_socket &listening);
-    // This process accepts clients: tells the one before it, and answers later successors.
+    // Starts to exchange messages. `listener` is passed to successors and must outlive this object.
+    void run(callbacks handlers, const tcp_socket &listener);
+    // This process accepts clients: notifies its predecessor and accepts successors of its own.
     void start_serving();
-    // Sends a message to all others and waits until they have carried it out, for a short while at most.
+    // Sends a message to all peers and waits a limited time for their acknowledgements.
     void broadcast(const peer_message &message);
     // Whether a successor accepts clients.
     [[nodiscard]] bool has_successor() const { return has_successor_.load(); }
@@ -87,29 +90,30 @@
         tcp_socket socket;
         bool is_successor = false, ready = false;
         shared_usage usage = {};
-        unsigned long sent = 0, acknowledged = 0; // numbers of messages that are to be carried out
+        unsigned long sent = 0, acknowledged = 0; // numbers of messages that need an acknowledgement
     };
 
-    // The thread: accepts successors, reads messages and sends what this process uses.
+    // The body of the thread: accepts successors, reads messages and sends the usage of this process.
     void loop();
-    // Opens the local socket where successors connect; where that fails it is tried again later.
+    // Opens the local socket for successors. If that fails, the thread retries later.
     void listen_for_successors();
-    bool read_messages(peer &from); // false: it has ended
-    // Computes anew what the others use, and whether a successor serves.
+    // Returns false if the peer has ended or sent a malformed message.
+    bool read_messages(peer &sender);
+    // Recomputes the usage of all peers and whether a successor is serving.
     void on_peers_changed();
-    // Sends messages, and the descriptor `with_socket` unless it is -1. Never waits; false: they were not
-    // sent.
-    bool write(peer &to, const std::vector<peer_message> &messages, int with_socket = -1);
+    // Sends messages and the descriptor `passed_fd` unless it is -1. Never blocks; returns false if the messages
+    // were not sent.
+    bool write(peer &receiver, const std::vector<peer_message> &messages, int passed_fd = -1);
 
     const std::string directory_, name_;
     callbacks callbacks_;
-    int listening_ = -1;          // the listener's own
-    tcp_socket successor_socket_; // where successors ask
-    // Protects peers_ and their counts. Its thread alone adds and removes peers, and reads them without it.
-    std::mutex lock_;
+    int listener_fd_ = -1;        // not owned
+    tcp_socket successor_socket_; // successors connect to it
+    // Protects peers_ and their counters. Only the thread adds and removes peers; it reads peers_ without the lock.
+    std::mutex mutex_;
     std::condition_variable acknowledged_;
     std::list<peer> peers_;
-    std::atomic<bool> over_ = false, serves_ = false, has_successor_ = false;
+    std::atomic<bool> stopping_ = false, is_serving_ = false, has_successor_ = false;
     std::optional<joined_thread> thread_;
 };
 
--- a/src/proxy/operations/request_metrics.cpp
+++ b/src/proxy/operations/request_metrics.cpp
@@ -4,49 +4,49 @@
 namespace harrierpass::proxy {
 namespace {
 
-// The page's names of the results.
+// The names of the results on the metrics page.
 constexpr std::array<std::string_view, static_cast<std::size_t>(request_result::total)> result_names = {
     "answered", "deferred", "errored"};
 
-// A label's value, in which quotes, backslashes and line ends are written with a backslash.
-std::string quoted(std::string_view text) {
-    std::string made = "\"";
-    for (const char each : text) {
-        if (each == '"' || each == '\\')
-            made += '\\';
-        if (each == '\n')
-            made += "\\n";
+// Quotes a label value and escapes quotes, backslashes and line feeds.
+std::string quote_label(std::string_view text) {
+    std::string quoted = "\"";
+    for (const char c : text) {
+        if (c == '"' || c == '\\')
+            quoted += '\\';
+        if (c == '\n')
+            quoted += "\\n";
         else
-            made += each;
+            quoted += c;
     }
-    return made += '"';
+    return quoted += '"';
 }
 
-// A metric without labels, as the page shows it.
+// A metric without labels.
 struct metric_row {
     std::string_view name, kind, help;
     std::uint64_t value;
 };
 
-void append_metric(std::string &to, const metric_row &row) {
-    to.append("# HELP ").append(row.name).append(" ").append(row.help).append("\n# TYPE ").append(row.name);
-    to.append(" ").append(row.kind).append("\n").append(row.name).append(" ");
-    to.append(std::to_string(row.value)).append("\n");
+void append_metric(std::string &page, const metric_row &row) {
+    page.append("# HELP ").append(row.name).append(" ").append(row.help).append("\n# TYPE ").append(row.name);
+    page.append(" ").append(row.kind).append("\n").append(row.name).append(" ");
+    page.append(std::to_string(row.value)).append("\n");
 }
 
 } // namespace
 
 std::string render_metrics(const request_metrics::snapshot &counts, std::size_t listed, std::size_t avoided,
                            const subset_view &subset) {
-    static constexpr std::string_view ended = "app_transactions_total";
+    static constexpr std::string_view results_metric = "app_transactions_total";
     std::string page;
-    page.append("# HELP ").append(ended).append(" Queries ended, by use case and how.\n");
-    page.append("# TYPE ").append(ended).append(" counter\n");
+    page.append("# HELP ").append(results_metric).append(" Queries ended, by use case and how.\n");
+    page.append("# TYPE ").append(results_metric).append(" counter\n");
     for (const auto &[request_class, results] : counts.results)
         for (std::size_t i = 0; i < result_names.size(); ++i)
-            page.append(ended)
+            page.append(results_metric)
                 .append("{group=")
-                .append(quoted(request_class))
+                .append(quote_label(request_class))
                 .append(",state=\"")
                 .append(result_names[i])
                 .append("\"} ")
--- a/src/proxy/operations/startup_preview.cpp
+++ b/src/proxy/operations/startup_preview.cpp
@@ -12,11 +12,12 @@
 namespace harrierpass::proxy {
 namespace {
 
-// Describes a list that the proxy may start with, and returns it; empty: it cannot be used.
-std::optional<endpoint_list> describe_list(const json &from, const configuration &settings,
+// Parses an endpoint list with which the proxy may start and describes it. Returns an empty value if the list is
+// malformed.
+std::optional<endpoint_list> describe_list(const json &text, const configuration &settings,
                                            std::ostream &output) {
     try {
-        const auto list = read_endpoint_list(from, settings);
+        const auto list = read_endpoint_list(text, settings);
         output << "revision " << list.revision << ", " << list.items.size() << " servers\n";
         return list;
     } catch (const parse_error &error) {
@@ -28,15 +29,15 @@
 } // namespace
 
 void preview_startup(const configuration &settings, double now, std::ostream &output) {
-    for (const auto &[what, at] :
+    for (const auto &[field, host_port] :
          {std::pair("listen", settings.listen), std::pair("discovery", settings.discovery),
           std::pair("control", settings.control)})
-        if (!at.empty() && !parse_address(at))
-            throw parse_error{std::string(what) + " " + at + " is no usable address"};
+        if (!host_port.empty() && !parse_address(host_port))
+            throw parse_error{std::string(field) + " " + host_port + " is not a valid address"};
     const bool shared = settings.poll.service == discovery::list_service_kind::shared;
     const auto intervals = discovery::compute_poll_intervals(settings.poll);
     output << std::setprecision(3) << settings.name << ": listens on " << settings.listen << ", list service "
-           << settings.discovery << ", " << (shared ? "one for all proxies" : "an agent beside this one")
+           << settings.discovery << ", " << (shared ? "shared by all proxies" : "an agent beside this proxy")
            << '\n';
     std::optional<endpoint_list> initial;
     output << "known list: ";
@@ -46,7 +47,7 @@
         output << "none\n";
     output << "snapshot: ";
     if (settings.snapshot_path.empty()) {
-        output << "none is kept\n";
+        output << "not configured\n";
     } else if (const auto found = load_snapshot(settings, now); found.fault != nullptr) {
         output << settings.snapshot_path << " refused: " << found.fault << '\n';
     } else {
@@ -57,23 +58,23 @@
     }
     const bool has_endpoints = initial && !initial->items.empty();
     if (!shared) {
-        output << "first call: the whole list, at once; then watches of " << intervals.watch_timeout
-               << " s, an answer within " << intervals.response_timeout
-               << " s\nready: after the first call's answer or loss\n";
+        output << "first poll: a snapshot, immediately; then watches of " << intervals.watch_timeout
+               << " s, response timeout " << intervals.response_timeout
+               << " s\nready: after the first poll succeeds or fails\n";
         return;
     }
-    output << "first call: ";
+    output << "first poll: ";
     if (has_endpoints)
         output << "a watch from revision " << initial->revision;
     else
-        output << "the whole list";
-    output << ", by chance within " << intervals.initial_poll_window << " s (" << settings.poll.proxy_count
-           << " proxies, " << settings.poll.snapshots_per_second << " lists a second)\nwatches of "
-           << intervals.watch_timeout << " s, an answer within " << intervals.response_timeout
-           << " s\nafter a refusal: not before it says, then by chance within "
-           << intervals.rejected_poll_window << " s\nafter a loss: by chance within " << intervals.min_backoff
+        output << "a snapshot";
+    output << ", at a random time within " << intervals.initial_poll_window << " s (" << settings.poll.proxy_count
+           << " proxies, " << settings.poll.snapshots_per_second << " snapshots per second)\nwatches of "
+           << intervals.watch_timeout << " s, response timeout " << intervals.response_timeout
+           << " s\nafter a rejected poll: after its Retry-After, at a random time within "
+           << intervals.rejected_poll_window << " s\nafter a failed poll: at a random time within " << intervals.min_backoff
            << " s, doubled up to " << intervals.max_backoff
-           << " s\nready: " << (has_endpoints ? "at once, with that list" : "with the first list") << '\n';
+           << " s\nready: " << (has_endpoints ? "immediately, with that list" : "with the first list") << '\n';
 }
 
 } // namespace harrierpass::proxy
--- a/src/proxy/operations/startup_preview.hpp
+++ b/src/proxy/operations/startup_preview.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Describes what a start with a configuration would do, without starting anything.
+// Describes how the proxy would start with a configuration, without starting it.
 #pragma once
 
 #include "proxy/configuration.hpp"
@@ -8,7 +8,7 @@
 
 namespace harrierpass::proxy {
 
-// Writes the description. `now`: Unix time, s. Throws parse_error where an address cannot be used.
+// Writes the description. `now` is Unix time in seconds. Throws parse_error if an address is invalid.
 void preview_startup(const configuration &settings, double now, std::ostream &output);
 
 } // namespace harrierpass::proxy
--- a/src/proxy/operations/stop_schedule.cpp
+++ b/src/proxy/operations/stop_schedule.cpp
@@ -6,15 +6,15 @@
 namespace harrierpass::proxy {
 namespace {
 
-constexpr double max_deadline = 3;  // s; the platform waits for no longer one
-constexpr double kill_delay = 0.7;  // s that it waits beside the longest deadline
-constexpr double kill_margin = 0.3; // s; a process may be held up for 0.15 s, and has to write and to end
+constexpr double max_deadline = 3;  // s; the platform does not wait for longer deadlines
+constexpr double kill_delay = 0.7;  // s that the platform waits in addition to the longest deadline
+constexpr double kill_margin = 0.3; // s; covers a stalled process (0.15 s), the last writes and the exit
 constexpr double min_accept_time = 0.45; // s; the load balancer sends new connections for up to 0.4 s
 constexpr double serving_share =
-    0.5; // of the time to the last answer in which clients keep their connections
-constexpr double min_response_time = 0.1; // s kept free for answers where all deadlines are shorter
-constexpr double max_idle = 0.25;         // s; a connection that was used since may have a request on its way
-constexpr double idle_share = 0.5;        // of the time from the first close to the last answer
+    0.5; // of the time until respond_by during which clients keep their connections
+constexpr double min_response_time = 0.1; // s reserved for responses if all deadlines are short
+constexpr double max_idle = 0.25;         // s; a request may be in transit on a connection used more recently
+constexpr double idle_share = 0.5;        // of the time from close_idle to respond_by
 
 } // namespace
 
--- a/src/proxy/operations/stop_schedule.hpp
+++ b/src/proxy/operations/stop_schedule.hpp
@@ -1,27 +1,26 @@
 // SPDX-License-Identifier: Apache-2.0
-// The schedule of a planned stop, without I/O. The platform may kill the process the longest deadline of the
-// deployment (3 s at most) and 0.7 s after its SIGTERM, and clients send on open connections until then.
-// Every bound of the stop follows from that earliest kill: none is a constant that holds for some deadlines
-// only.
+// The schedule of a planned stop. Does no I/O. The platform may kill the process once the longest deadline of the
+// deployment (3 s at most) plus 0.7 s have passed since SIGTERM; until then clients may send requests on open
+// connections. Every time of the schedule is derived from this earliest kill, so that it holds for all deadlines.
 #pragma once
 
 #include <span>
 
 namespace harrierpass::proxy {
 
-// Seconds after the signal, in this order.
+// Seconds after SIGTERM; min_idle is a duration.
 struct stop_schedule {
-    double close_idle = 0;   // connections at rest close, and each answer closes its connection, from here on
-    double min_idle = 0;     // ... once they have been at rest for so long (a span)
-    double accept_until = 0; // new connections are accepted at least until here
-    double respond_by = 0;   // every request that was read has its final answer, or its refusal
-    double earliest_kill = 0; // SIGKILL may come
+    double close_idle = 0;    // from then on idle connections are closed, as are connections after a response
+    double min_idle = 0;      // idle connections are closed only after this duration without a request
+    double accept_until = 0;  // new connections are accepted at least until then
+    double respond_by = 0;    // every request that was read has its final response or rejection
+    double earliest_kill = 0; // SIGKILL is possible from then on
 };
 
-// The schedule where the longest deadline of any use case is `longest_deadline` seconds.
+// Computes the schedule; `longest_deadline` is in seconds and covers all request classes.
 stop_schedule stop_schedule_for(double longest_deadline);
 
-// The longest of a deployment's deadlines, as far as the platform waits for them; s.
+// The longest of the deadlines in seconds, limited to the 3 s for which the platform waits.
 double longest_deadline(std::span<const double> deadlines);
 
 } // namespace harrierpass::proxy
--- a/src/proxy/service.cpp
+++ b/src/proxy/service.cpp
@@ -53,7 +53,7 @@
     start_threads(inherited);
     log_.info("started name=", configuration_.name, " listen=", to_text(at_),
               " clients-at-most=", limits.max_connections,
-              " control=", control_ ? to_text(control_->at()) : "none");
+              " control=", control_ ? to_text(control_->listen_address()) : "none");
 }
 
 service::~service() {
