--- a/examples/toy_server.cpp
+++ b/examples/toy_server.cpp
@@ -1,8 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-// What a proxy needs around it, in one program on loopback: discovery at port 8500 and three cache servers
-// at 9101 to 9103 with an origin behind them that is slow by 50 ms. A few lines over the testbed's
-// library; harrierpass_testbed does more of the kind. Lines on standard input change things: "leave 1",
-// "crash 1", "end crash 1"; "help" lists them. Its end ends nothing, so that it can run in the background.
+// The environment of a proxy in one program on loopback: discovery on port 8500, and three cache servers on ports
+// 9101 to 9103 with an origin that takes 50 ms for each fetch. A small program on top of the testbed library;
+// harrierpass_testbed offers more. Commands on standard input change the fleet, e.g. "leave 1", "crash 1" and
+// "end crash 1"; "help" lists them. The end of standard input does not stop the program, so that it can run in
+// the background.
 #include "testbed/model/experiment_reader.hpp"
 #include "testbed/program/fleet_shell.hpp"
 
@@ -10,7 +11,7 @@
 
 namespace {
 
-constexpr const char *servers = R"(
+constexpr const char *fleet_experiment = R"(
 [fleet]
 servers = 3
 zones = ["here"]
@@ -43,14 +44,14 @@
 
 int main() {
     using namespace harrierpass::testbed;
-    shell_options how;
-    how.where.first_server = 9101;
-    how.where.first_list = 8500;
-    how.chatty = true;
+    shell_options options;
+    options.where.first_server = 9101;
+    options.where.first_list = 8500;
+    options.chatty = true;
     try {
-        return serve_fleet(parse_experiment(servers, "toy"), how);
-    } catch (const std::exception &failed) {
-        std::cerr << "toy_server: " << failed.what() << '\n';
+        return serve_fleet(parse_experiment(fleet_experiment, "toy"), options);
+    } catch (const std::exception &error) {
+        std::cerr << "toy_server: " << error.what() << '\n';
     }
     return 2;
 }
--- a/tests/proxy/hot_restart_test.cpp
+++ b/tests/proxy/hot_restart_test.cpp
@@ -5,8 +5,8 @@
 
 namespace harrierpass::proxy {
 
-// Processes of different releases talk to each other, so the form on the wire may not change.
-TEST_CASE("hot restart: the form of each message on the wire") {
+// Processes of different releases exchange these messages, so their encoding must not change.
+TEST_CASE("hot restart: each kind of message has its fixed encoding and decodes to itself") {
     using kind = peer_message::kind;
     const std::vector<std::pair<peer_message, std::string>> messages = {
         {{kind::hello, ""}, "h0:"},
@@ -17,15 +17,15 @@
         {{kind::ready, ""}, "r0:"},
         {{kind::usage, to_text({.descriptors = 12, .clients = 3})}, "u4:12 3"},
         {{kind::done, ""}, "d0:"}};
-    for (const auto &each : messages) {
-        const peer_message &message = each.first;
-        const std::string &wire = each.second;
-        CAPTURE(wire);
-        CHECK(to_message({message}) == wire);
-        const auto read = read_message(wire);
-        REQUIRE(read.size() == 1);
-        CHECK(read[0].type == message.type);
-        CHECK(read[0].text == message.text);
+    for (const auto &example : messages) {
+        const peer_message &message = example.first;
+        const std::string &encoded = example.second;
+        CAPTURE(encoded);
+        CHECK(to_message({message}) == encoded);
+        const auto decoded = read_message(encoded);
+        REQUIRE(decoded.size() == 1);
+        CHECK(decoded[0].type == message.type);
+        CHECK(decoded[0].text == message.text);
     }
 }
 
