--- a/examples/toy_server.cpp
+++ b/examples/toy_server.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-// The environment of a proxy in one program on loopback: discovery on port 8500, and three cache servers on ports
-// 9101 to 9103 with an origin that takes 50 ms for each fetch. A small program on top of the testbed library;
-// harrierpass_testbed offers more. Commands on standard input change the fleet, e.g. "leave 1", "crash 1" and
-// "end crash 1"; "help" lists them. The end of standard input does not stop the program, so that it can run in
-// the background.
+// The environment of a proxy in one program on loopback: discovery on port 8500, and three cache servers on
+// ports 9101 to 9103 with an origin that takes 50 ms for each fetch. A small program on top of the testbed
+// library; harrierpass_testbed offers more. Commands on standard input change the fleet, e.g. "leave 1",
+// "crash 1" and "end crash 1"; "help" lists them. The end of standard input does not stop the program, so
+// that it can run in the background.
 #include "testbed/model/experiment_reader.hpp"
 #include "testbed/program/fleet_shell.hpp"
 
--- a/src/base/json.hpp
+++ b/src/base/json.hpp
@@ -35,8 +35,8 @@
     json value;
 };
 
-// Parses a text that consists of one JSON value. Throws parse_error if it is malformed, is nested more than 32
-// levels deep, or has two members of the same name in an object.
+// Parses a text that consists of one JSON value. Throws parse_error if it is malformed, is nested more than
+// 32 levels deep, or has two members of the same name in an object.
 json read_json(std::string_view text);
 
 } // namespace harrierpass
--- a/src/base/text.hpp
+++ b/src/base/text.hpp
@@ -53,8 +53,8 @@
 // Floating-point numbers are accepted if their absolute value is smaller than this.
 inline constexpr double max_parsed_number = 1e15;
 
-// Parses the whole text as one number. Throws parse_error with the message and the location if the text is not
-// a number or a floating-point number is out of bounds.
+// Parses the whole text as one number. Throws parse_error with the message and the location if the text is
+// not a number or a floating-point number is out of bounds.
 template <typename Number>
 Number parse_number(std::string_view text, const char *message, const parse_location &location = {}) {
     Number value{};
--- a/src/net/http.hpp
+++ b/src/net/http.hpp
@@ -33,9 +33,9 @@
     bool keeps_alive() const;
 };
 
-// Parses one message incrementally in a buffer that the caller owns. The chunks of a chunked body are joined in
-// place. A streamed body may be longer than the buffer: once the buffer is full, the caller processes the body
-// bytes in it and calls release(). Interim responses are skipped.
+// Parses one message incrementally in a buffer that the caller owns. The chunks of a chunked body are joined
+// in place. A streamed body may be longer than the buffer: once the buffer is full, the caller processes the
+// body bytes in it and calls release(). Interim responses are skipped.
 class http_reader {
 public:
     enum class message_kind : std::uint8_t { request, response };
@@ -100,7 +100,8 @@
     bool can_start_message(std::string_view text) const;
     // Parses the lines of a head, each ending with CRLF; returns false if they are malformed.
     bool parse_head(std::string_view text);
-    // Each function parses a line without its CRLF, or a version, into head_; returns false if it is malformed.
+    // Each function parses a line without its CRLF, or a version, into head_; returns false if it is
+    // malformed.
     bool parse_field(std::string_view line);
     bool parse_version(std::string_view text);
     bool parse_status_line(std::string_view line);
--- a/src/net/http_call.hpp
+++ b/src/net/http_call.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// Sends one HTTP request on a connection and reads its response within a time limit. Blocks the calling thread,
-// which has to be one that may call wait_on() (threads.hpp).
+// Sends one HTTP request on a connection and reads its response within a time limit. Blocks the calling
+// thread, which has to be one that may call wait_on() (threads.hpp).
 #pragma once
 
 #include "net/http.hpp"
@@ -10,8 +10,8 @@
 
 namespace harrierpass {
 
-// Sends the request and reads the response within `limit` s. Returns whether the response is complete. Returns
-// early once `canceled` returns true; it is evaluated again after each wake_thread().
+// Sends the request and reads the response within `limit` s. Returns whether the response is complete.
+// Returns early once `canceled` returns true; it is evaluated again after each wake_thread().
 bool http_call(const tcp_socket &connection, std::string_view request, http_reader &response, double limit,
                const std::function<bool()> &canceled = {});
 
--- a/src/net/sockets.cpp
+++ b/src/net/sockets.cpp
@@ -194,7 +194,8 @@
             return false;
         if (written.status == io_status::progressed)
             continue;
-        // If the system has no buffers, the socket itself may be writable, and polling it would return at once.
+        // If the system has no buffers, the socket itself may be writable, and polling it would return at
+        // once.
         const bool no_buffer = written.error == ENOBUFS || written.error == ENOMEM;
         pollfd writable{connection.get(), POLLOUT, 0};
         const double left = deadline - steady_now();
--- a/src/net/sockets.hpp
+++ b/src/net/sockets.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// TCP sockets as value types. Reads and writes never block; wait_on() (threads.hpp) waits. If a function returns
-// an empty socket, errno has the error. Times are in seconds.
+// TCP sockets as value types. Reads and writes never block; wait_on() (threads.hpp) waits. If a function
+// returns an empty socket, errno has the error. Times are in seconds.
 #pragma once
 
 #include <cstddef>
@@ -51,8 +51,8 @@
 // Formats the address as "HOST:PORT"; an IPv6 host has no brackets.
 std::string to_text(const address &value);
 
-// Whether a system call failed because of a shortage on this machine (descriptor, buffer, memory, port, route),
-// which does not indicate a fault of the peer. `error` is an errno.
+// Whether a system call failed because of a shortage on this machine (descriptor, buffer, memory, port,
+// route), which does not indicate a fault of the peer. `error` is an errno.
 bool is_local_shortage(int error);
 
 // Creates an unconnected socket for a later dial(), which then needs no new descriptor.
--- a/src/net/threads.hpp
+++ b/src/net/threads.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// Threads with small stacks, and their wait function, which ends on socket readiness, a timeout or a wake-up by
-// another thread. Times are in seconds.
+// Threads with small stacks, and their wait function, which ends on socket readiness, a timeout or a wake-up
+// by another thread. Times are in seconds.
 #pragma once
 
 #include <functional>
@@ -20,9 +20,9 @@
 // The monotonic clock in seconds.
 double steady_now();
 
-// Waits until sockets are ready (returns their number), the timeout expires (0), or wake_thread() is called for
-// this thread (-1). A wake-up before the wait also ends it, so none is lost. Only for threads that are started
-// by the functions below.
+// Waits until sockets are ready (returns their number), the timeout expires (0), or wake_thread() is called
+// for this thread (-1). A wake-up before the wait also ends it, so none is lost. Only for threads that are
+// started by the functions below.
 int wait_on(std::span<pollfd> sockets, double seconds);
 
 // Ends the current or the next wait of a thread. The thread must not have ended.
--- a/src/proxy/operations/control_server.cpp
+++ b/src/proxy/operations/control_server.cpp
@@ -21,8 +21,8 @@
 constexpr double accept_retry_pause = 0.005;   // s after a failed accept()
 constexpr double check_interval = 0.25;        // s between checks for timeouts
 
-// Returns the value of `target` in a query string. If there is not exactly one valid value, returns an empty text
-// and sets `fault` to the reason.
+// Returns the value of `target` in a query string. If there is not exactly one valid value, returns an empty
+// text and sets `fault` to the reason.
 std::string parse_target(string_view query, const char *&fault) {
     std::string id;
     std::size_t target_count = 0;
@@ -95,8 +95,8 @@
     }
 }
 
-// Reads each new client immediately, as its request has usually arrived in full. At the limit the oldest client
-// is closed, so that silent clients do not block others.
+// Reads each new client immediately, as its request has usually arrived in full. At the limit the oldest
+// client is closed, so that silent clients do not block others.
 void control_server::accept_clients() {
     for (std::size_t count = 0; count < max_connections; ++count) {
         address peer;
--- a/src/proxy/operations/hot_restart.cpp
+++ b/src/proxy/operations/hot_restart.cpp
@@ -47,8 +47,8 @@
     return found == kind_letters.end() ? std::nullopt : std::optional(found->first);
 }
 
-// The address of a local socket. A path that is too long for sockaddr_un is reached through a descriptor of its
-// directory.
+// The address of a local socket. A path that is too long for sockaddr_un is reached through a descriptor of
+// its directory.
 class local_socket_name {
 public:
     local_socket_name(const std::string &directory, const std::string &name) {
@@ -84,8 +84,8 @@
            credentials.uid == ::getuid();
 }
 
-// Receives one message and the descriptor passed with it, if any. Returns an empty text if no message is available
-// (errno is EAGAIN) or the peer has closed.
+// Receives one message and the descriptor passed with it, if any. Returns an empty text if no message is
+// available (errno is EAGAIN) or the peer has closed.
 std::string receive(const tcp_socket &socket, tcp_socket &passed_descriptor) {
     std::string text(max_message_size, '\0');
     iovec part{text.data(), text.size()};
@@ -205,8 +205,8 @@
     wake_thread(thread_->id());
 }
 
-// Binds the socket under a temporary name and renames it: successors find a socket at any time, and the socket of
-// a killed process is replaced.
+// Binds the socket under a temporary name and renames it: successors find a socket at any time, and the
+// socket of a killed process is replaced.
 void hot_restart::listen_for_successors() {
     successor_socket_ = local_socket();
     const local_socket_name temporary(directory_, name_ + "." + std::to_string(::getpid()));
@@ -337,8 +337,8 @@
     });
 }
 
-// Never blocks: the socket buffer holds far more than one batch of messages, so a full buffer means that the peer
-// hangs.
+// Never blocks: the socket buffer holds far more than one batch of messages, so a full buffer means that the
+// peer hangs.
 bool hot_restart::write(peer &receiver, const std::vector<peer_message> &messages, int passed_fd) {
     const std::string text = to_message(messages);
     iovec part{const_cast<char *>(text.data()), text.size()};
--- a/src/proxy/operations/hot_restart.hpp
+++ b/src/proxy/operations/hot_restart.hpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-// Hot restart: the serving process passes its listening socket and the state set by operators to its successor
-// over a local socket. Until one of them ends, both processes exchange the commands of operators and their usage
-// of shared limits.
+// Hot restart: the serving process passes its listening socket and the state set by operators to its
+// successor over a local socket. Until one of them ends, both processes exchange the commands of operators
+// and their usage of shared limits.
 #pragma once
 
 #include "net/sockets.hpp"
@@ -21,8 +21,8 @@
 
 namespace harrierpass::proxy {
 
-// A message between two processes of one proxy. hot_restart.cpp has the table of the letters that stand for the
-// kinds on the wire; different releases have to agree on them.
+// A message between two processes of one proxy. hot_restart.cpp has the table of the letters that stand for
+// the kinds on the wire; different releases have to agree on them.
 struct peer_message {
     // The kind of message and the content of its text.
     enum class kind : std::uint8_t {
@@ -101,15 +101,16 @@
     bool read_messages(peer &sender);
     // Recomputes the usage of all peers and whether a successor is serving.
     void on_peers_changed();
-    // Sends messages and the descriptor `passed_fd` unless it is -1. Never blocks; returns false if the messages
-    // were not sent.
+    // Sends messages and the descriptor `passed_fd` unless it is -1. Never blocks; returns false if the
+    // messages were not sent.
     bool write(peer &receiver, const std::vector<peer_message> &messages, int passed_fd = -1);
 
     const std::string directory_, name_;
     callbacks callbacks_;
     int listener_fd_ = -1;        // not owned
     tcp_socket successor_socket_; // successors connect to it
-    // Protects peers_ and their counters. Only the thread adds and removes peers; it reads peers_ without the lock.
+    // Protects peers_ and their counters. Only the thread adds and removes peers; it reads peers_ without the
+    // lock.
     std::mutex mutex_;
     std::condition_variable acknowledged_;
     std::list<peer> peers_;
--- a/src/proxy/operations/startup_preview.cpp
+++ b/src/proxy/operations/startup_preview.cpp
@@ -12,8 +12,8 @@
 namespace harrierpass::proxy {
 namespace {
 
-// Parses an endpoint list with which the proxy may start and describes it. Returns an empty value if the list is
-// malformed.
+// Parses an endpoint list with which the proxy may start and describes it. Returns an empty value if the list
+// is malformed.
 std::optional<endpoint_list> describe_list(const json &text, const configuration &settings,
                                            std::ostream &output) {
     try {
--- a/src/proxy/operations/stop_schedule.hpp
+++ b/src/proxy/operations/stop_schedule.hpp
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
-// The schedule of a planned stop. Does no I/O. The platform may kill the process once the longest deadline of the
-// deployment (3 s at most) plus 0.7 s have passed since SIGTERM; until then clients may send requests on open
-// connections. Every time of the schedule is derived from this earliest kill, so that it holds for all deadlines.
+// The schedule of a planned stop. Does no I/O. The platform may kill the process once the longest deadline of
+// the deployment (3 s at most) plus 0.7 s have passed since SIGTERM; until then clients may send requests on
+// open connections. Every time of the schedule is derived from this earliest kill, so that it holds for all
+// deadlines.
 #pragma once
 
 #include <span>
--- a/tests/proxy/planned_stop_test.cpp
+++ b/tests/proxy/planned_stop_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-// Planned stops: SIGTERM, then SIGKILL at the earliest moment that the deployment allows, which is 0.7 s plus the
-// longest deadline of its settings (3 s at most) after SIGTERM. Until then clients keep using the connections
-// that stay open. See docs/incidents/planned-stop.md.
+// Planned stops: SIGTERM, then SIGKILL at the earliest moment that the deployment allows, which is 0.7 s plus
+// the longest deadline of its settings (3 s at most) after SIGTERM. Until then clients keep using the
+// connections that stay open. See docs/incidents/planned-stop.md.
 #include "support/stand.hpp"
 
 #include "net/threads.hpp"
@@ -43,8 +43,8 @@
     std::string unanswered_id; // of a request whose connection was closed without a response
 };
 
-// Stops the proxy under load, kills it at the earliest moment, and returns how many requests reached a server but
-// got no response. Calls `before_stop` just before SIGTERM.
+// Stops the proxy under load, kills it at the earliest moment, and returns how many requests reached a server
+// but got no response. Calls `before_stop` just before SIGTERM.
 int requests_lost_at_earliest_kill(
     int longest_deadline_ms, proxy_fixture &fixture, proxy_process &proxy,
     const std::function<void()> &before_stop = [] {}) {
@@ -76,8 +76,8 @@
 
 } // namespace
 
-// Requests must not be lost if all deadlines are short: a request that is read during the stop has its response
-// before the earliest kill, whatever the longest deadline is.
+// Requests must not be lost if all deadlines are short: a request that is read during the stop has its
+// response before the earliest kill, whatever the longest deadline is.
 TEST_CASE("planned stop: every request has its response before the earliest kill") {
     for (const int longest_deadline_ms : {150, 270, 345, 1000})
         for (int round = 0; round < 3; ++round) {
@@ -89,8 +89,8 @@
         }
 }
 
-// A stop after a reload: SIGTERM arrives while settings with shorter deadlines are not in force yet, because their
-// endpoint list is missing. The platform may already use the shorter deadlines.
+// A stop after a reload: SIGTERM arrives while settings with shorter deadlines are not in force yet, because
+// their endpoint list is missing. The platform may already use the shorter deadlines.
 TEST_CASE("planned stop: deadlines of a pending reload shorten the schedule") {
     constexpr int shorter_deadline_ms = 150;
     proxy_fixture fixture({.request_timeout_ms = 1000, .start_proxy = false, .response_delay_ms = 60});
