--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -31,8 +31,8 @@
     gmtime_r(&second, &utc);
     const std::lock_guard guard(mutex_);
     output_ << std::put_time(&utc, "%FT%T") << '.' << std::setw(3) << std::setfill('0') << millisecond << "Z "
-         << level_names[static_cast<std::size_t>(level)] << ' ' << text << '\n'
-         << std::flush;
+            << level_names[static_cast<std::size_t>(level)] << ' ' << text << '\n'
+            << std::flush;
     output_.clear(); // a failed write must not suppress later lines
 }
 
--- a/src/net/buffer_pool.hpp
+++ b/src/net/buffer_pool.hpp
@@ -37,8 +37,9 @@
     // Keeps the buffer for reuse, or frees it if the maximum number is kept already.
     void release(char *buffer) noexcept;
 
-    mutable std::mutex mutex_;                  // protects idle_
-    std::vector<std::unique_ptr<char[]>> idle_; // its capacity is reserved, so that release() does not allocate
+    mutable std::mutex mutex_; // protects idle_
+    std::vector<std::unique_ptr<char[]>>
+        idle_; // its capacity is reserved, so that release() does not allocate
 };
 
 inline std::span<char> whole_buffer(const buffer_pool::buffer_handle &buffer) {
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -14,7 +14,8 @@
 constexpr std::size_t max_fields = 64;          // heads of the protocol have about 10
 constexpr std::size_t max_chunk_line = 1024;    // bytes, including chunk extensions
 constexpr std::size_t max_trailer_size = 65536; // bytes
-constexpr std::size_t max_length_digits = 15;   // of the size of a body or a chunk, which then fits into 64 bits
+constexpr std::size_t max_length_digits =
+    15; // of the size of a body or a chunk, which then fits into 64 bits
 
 bool is_token(string_view text) {
     return !text.empty() && std::all_of(text.begin(), text.end(), [](char c) {
@@ -269,8 +270,8 @@
     }
     if (head_.target.empty())
         return false;
-    return head_.target.front() == '/' && std::all_of(head_.target.begin(), head_.target.end(),
-                                                      [](char c) { return c > 0x20 && c < 0x7F; });
+    return head_.target.front() == '/' &&
+           std::all_of(head_.target.begin(), head_.target.end(), [](char c) { return c > 0x20 && c < 0x7F; });
 }
 
 http_reader::state http_reader::begin_body() {
--- a/src/net/threads.cpp
+++ b/src/net/threads.cpp
@@ -16,8 +16,7 @@
 constexpr int wake_signal = SIGUSR2;
 constexpr double thread_start_limit = 2; // s; joined threads are required for the program to run
 constexpr std::chrono::milliseconds thread_start_retry{10};
-constexpr std::size_t stack_size =
-    256UL * 1024; // bytes of address space; a request uses about 20 KiB
+constexpr std::size_t stack_size = 256UL * 1024; // bytes of address space; a request uses about 20 KiB
 
 sigset_t all_signals() {
     sigset_t signals;
--- a/src/proxy/operations/control_server.cpp
+++ b/src/proxy/operations/control_server.cpp
@@ -51,10 +51,10 @@
             rest.remove_prefix(2);
         }
     }
-    fault = target_count == 0   ? "target=ID is missing\n"
-            : target_count > 1  ? "target stands twice\n"
-            : id.empty() ? "target is empty\n"
-                         : nullptr;
+    fault = target_count == 0  ? "target=ID is missing\n"
+            : target_count > 1 ? "target stands twice\n"
+            : id.empty()       ? "target is empty\n"
+                               : nullptr;
     return id;
 }
 
@@ -164,7 +164,7 @@
         question_mark == string_view::npos ? string_view{} : request.target.substr(question_mark + 1);
     static constexpr std::array<string_view, 2> get_paths = {"/ready", "/metrics"};
     static constexpr std::array<string_view, 4> post_paths = {"/cache-nodes/disable", "/cache-nodes/enable",
-                                                            "/drain", "/undrain"};
+                                                              "/drain", "/undrain"};
     const bool is_get = std::ranges::find(get_paths, path) != get_paths.end();
     if (!is_get && std::ranges::find(post_paths, path) == post_paths.end())
         return {404, "no such call; there are /ready, /metrics, /cache-nodes/disable, /cache-nodes/enable, "
--- a/src/proxy/operations/hot_restart.cpp
+++ b/src/proxy/operations/hot_restart.cpp
@@ -302,7 +302,8 @@
                 callbacks_.on_message(message);
             }
             const std::lock_guard guard(mutex_);
-            for (auto &other : peers_) // a third process exists if a second upgrade follows before the first ends
+            for (auto &other :
+                 peers_) // a third process exists if a second upgrade follows before the first ends
                 if (&other != &sender && message.type != peer_message::kind::ready && write(other, {message}))
                     ++other.sent;
             write(sender, {{peer_message::kind::done, {}}});
@@ -332,8 +333,9 @@
         if (write(peer_process, {message}))
             ++peer_process.sent;
     acknowledged_.wait_for(guard, broadcast_timeout, [&] {
-        return std::all_of(peers_.begin(), peers_.end(),
-                           [](const auto &peer_process) { return peer_process.acknowledged >= peer_process.sent; });
+        return std::all_of(peers_.begin(), peers_.end(), [](const auto &peer_process) {
+            return peer_process.acknowledged >= peer_process.sent;
+        });
     });
 }
 
--- a/src/proxy/operations/startup_preview.cpp
+++ b/src/proxy/operations/startup_preview.cpp
@@ -68,13 +68,15 @@
         output << "a watch from revision " << initial->revision;
     else
         output << "a snapshot";
-    output << ", at a random time within " << intervals.initial_poll_window << " s (" << settings.poll.proxy_count
-           << " proxies, " << settings.poll.snapshots_per_second << " snapshots per second)\nwatches of "
-           << intervals.watch_timeout << " s, response timeout " << intervals.response_timeout
+    output << ", at a random time within " << intervals.initial_poll_window << " s ("
+           << settings.poll.proxy_count << " proxies, " << settings.poll.snapshots_per_second
+           << " snapshots per second)\nwatches of " << intervals.watch_timeout << " s, response timeout "
+           << intervals.response_timeout
            << " s\nafter a rejected poll: after its Retry-After, at a random time within "
-           << intervals.rejected_poll_window << " s\nafter a failed poll: at a random time within " << intervals.min_backoff
-           << " s, doubled up to " << intervals.max_backoff
-           << " s\nready: " << (has_endpoints ? "immediately, with that list" : "with the first list") << '\n';
+           << intervals.rejected_poll_window << " s\nafter a failed poll: at a random time within "
+           << intervals.min_backoff << " s, doubled up to " << intervals.max_backoff
+           << " s\nready: " << (has_endpoints ? "immediately, with that list" : "with the first list")
+           << '\n';
 }
 
 } // namespace harrierpass::proxy
--- a/src/proxy/operations/stop_schedule.cpp
+++ b/src/proxy/operations/stop_schedule.cpp
@@ -6,9 +6,9 @@
 namespace harrierpass::proxy {
 namespace {
 
-constexpr double max_deadline = 3;  // s; the platform does not wait for longer deadlines
-constexpr double kill_delay = 0.7;  // s that the platform waits in addition to the longest deadline
-constexpr double kill_margin = 0.3; // s; covers a stalled process (0.15 s), the last writes and the exit
+constexpr double max_deadline = 3;       // s; the platform does not wait for longer deadlines
+constexpr double kill_delay = 0.7;       // s that the platform waits in addition to the longest deadline
+constexpr double kill_margin = 0.3;      // s; covers a stalled process (0.15 s), the last writes and the exit
 constexpr double min_accept_time = 0.45; // s; the load balancer sends new connections for up to 0.4 s
 constexpr double serving_share =
     0.5; // of the time until respond_by during which clients keep their connections
--- a/src/proxy/request/request_session.cpp
+++ b/src/proxy/request/request_session.cpp
@@ -338,13 +338,13 @@
     if (!context_.logger.is_enabled(level) || (!was_read && !has_response))
         return;
     context_.logger.write(level, "request-end id=", request_.id, " use-case=", request_.class_name,
-                       " status=", request_.response_status, " attempts=", request_.attempts,
-                       " took=", was_read ? now - request_.received_at : 0,
-                       " left=", request_.deadline > 0 ? request_.deadline - now : 0,
-                       " stopping-for=", context_.time_since_stop(),
-                       " refused-for=", request_.rejected_for ? log_text(*request_.rejected_for) : "-",
-                       " connection=", decision ? log_text(*decision) : "kept",
-                       was_read && !has_response ? " unanswered=1" : "");
+                          " status=", request_.response_status, " attempts=", request_.attempts,
+                          " took=", was_read ? now - request_.received_at : 0,
+                          " left=", request_.deadline > 0 ? request_.deadline - now : 0,
+                          " stopping-for=", context_.time_since_stop(),
+                          " refused-for=", request_.rejected_for ? log_text(*request_.rejected_for) : "-",
+                          " connection=", decision ? log_text(*decision) : "kept",
+                          was_read && !has_response ? " unanswered=1" : "");
 }
 
 // Serves the request and releases what it holds, its buffer too.
--- a/src/proxy/request/upstream_attempt.cpp
+++ b/src/proxy/request/upstream_attempt.cpp
@@ -224,10 +224,10 @@
     if (!context_.logger.is_enabled(level))
         return;
     context_.logger.write(level, "execution-end id=", request_.id,
-                       " server=", context_.upstreams.id_of(decision_.endpoint),
-                       " number=", decision_.attempt, " stopping-for=", context_.time_since_stop(),
-                       " status=", response_.head().status, " note=", response_.head().header("X-Cache"),
-                       " reason=", result.reason ? log_text(*result.reason) : "answered");
+                          " server=", context_.upstreams.id_of(decision_.endpoint),
+                          " number=", decision_.attempt, " stopping-for=", context_.time_since_stop(),
+                          " status=", response_.head().status, " note=", response_.head().header("X-Cache"),
+                          " reason=", result.reason ? log_text(*result.reason) : "answered");
 }
 
 void upstream_attempt::end_connection(const attempt_result &result) {
--- a/src/proxy/service.hpp
+++ b/src/proxy/service.hpp
@@ -46,7 +46,9 @@
     [[nodiscard]] address at() const { return at_; }
 
     // The address of the control server; of size 0 where there is none.
-    [[nodiscard]] address control_address() const { return control_ ? control_->listen_address() : address{}; }
+    [[nodiscard]] address control_address() const {
+        return control_ ? control_->listen_address() : address{};
+    }
 
     // Slots that endpoints ever held at a time.
     [[nodiscard]] std::size_t endpoint_slots() const { return discovery_.slot_count(); }
--- a/tests/proxy/crossings_test.cpp
+++ b/tests/proxy/crossings_test.cpp
@@ -153,7 +153,8 @@
     }
     wait_until([&] { return count.value(counter::client_disconnects) == 1; });
     fixture.servers[0].push_response("reset");
-    wait_until([&] { return count.value(counter::client_connections_closed) > 1; }); // the stand's own one, too
+    wait_until(
+        [&] { return count.value(counter::client_connections_closed) > 1; }); // the stand's own one, too
     CHECK(count.value(counter::attempts_sent) == 1);
     fixture.proxy.reset();
     CHECK(fixture.attempt_count() == 1);
--- a/tests/proxy/operators_test.cpp
+++ b/tests/proxy/operators_test.cpp
@@ -281,14 +281,14 @@
         CHECK(figure(next->control_port, "app_cluster_unhealthy") == 1);
         clients.wait_for_each(); // what was on its way there has come by now
         seen = fixture.servers[0].request_count();
-        first->ends();
+        first->stop();
         clients.wait_for(50);
         first = std::move(next);
     }
     clients.finish();
     CHECK(clients.bad == 0);
     CHECK(fixture.servers[0].request_count() == seen);
-    first->ends();
+    first->stop();
 }
 
 // Guards the proxy that serves against a successor that does not get so far, and against a file left behind.
--- a/tests/support/stand.hpp
+++ b/tests/support/stand.hpp
@@ -83,7 +83,8 @@
             return;
         proxy = std::make_unique<service>(read_configuration(config), log_output, log_level::debug);
         port = ntohs(reinterpret_cast<const sockaddr_in &>(proxy->at().storage).sin_port);
-        control_port = ntohs(reinterpret_cast<const sockaddr_in &>(proxy->control_address().storage).sin_port);
+        control_port =
+            ntohs(reinterpret_cast<const sockaddr_in &>(proxy->control_address().storage).sin_port);
         while (!is_ready())
             std::this_thread::yield();
     }
--- a/tests/testbed/many_test.cpp
+++ b/tests/testbed/many_test.cpp
@@ -291,19 +291,20 @@
     struct peer {
         peer() : socket(::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK, 0)) {
             const auto any = parse_address("127.0.0.1:0");
-            REQUIRE(::bind(socket.get(), reinterpret_cast<const sockaddr *>(&any->where), any->size) == 0);
+            REQUIRE(::bind(socket.get(), reinterpret_cast<const sockaddr *>(&any->storage), any->size) == 0);
             at = local_address(socket);
         }
         void say(const address &to, const std::string &what) {
-            ::sendto(socket.get(), what.data(), what.size(), 0, reinterpret_cast<const sockaddr *>(&to.storage),
-                     to.size);
+            ::sendto(socket.get(), what.data(), what.size(), 0,
+                     reinterpret_cast<const sockaddr *>(&to.storage), to.size);
         }
         void read() {
             std::array<char, 512> part{};
             address from;
             from.size = sizeof from.storage;
-            for (long got; (got = ::recvfrom(socket.get(), part.data(), part.size(), 0,
-                                             reinterpret_cast<sockaddr *>(&from.storage), &from.size)) >= 0;) {
+            for (long got;
+                 (got = ::recvfrom(socket.get(), part.data(), part.size(), 0,
+                                   reinterpret_cast<sockaddr *>(&from.storage), &from.size)) >= 0;) {
                 heard.append(part.data(), static_cast<std::size_t>(got));
                 sender = to_text(from);
             }
