--- a/src/router/endpoint_fleet.cpp
+++ b/src/router/endpoint_fleet.cpp
@@ -234,8 +234,8 @@
                        is_origin ? elapsed / shortest_latency_objective_ : latency_share, result.fetched,
                        now);
     } else if (is_origin && (overloaded || result.result == outcome::connect_error)) {
-        record.overloaded_until = record.backoff.on_refusal(result.started_at, now,
-                                                            limits_.mean_response_time(), random.fraction());
+        record.overloaded_until = record.backoff.on_rejection(
+            result.started_at, now, limits_.mean_response_time(), random.fraction());
         record_latency(record, result.started_at, 1, false, now);
     } else if (overloaded) {
         record.overloaded_until = now + limits_.mean_response_time();
--- a/src/router/hot_keys.cpp
+++ b/src/router/hot_keys.cpp
@@ -7,8 +7,9 @@
 namespace harrierpass {
 namespace {
 
-constexpr std::size_t window_size = 64;     // requests
-constexpr double replicas_per_endpoint = 2; // replicas for each fair share of an endpoint that a key draws
+constexpr std::size_t window_size = 64; // requests
+constexpr double replicas_per_fair_share =
+    2; // the fair share of an endpoint is an equal part of all requests
 
 } // namespace
 
@@ -22,7 +23,7 @@
             counts_.erase(oldest);
     }
     const double fair_shares = (count - 1) / window_size * static_cast<double>(endpoint_count);
-    return static_cast<std::uint32_t>(std::max(1.0, std::floor(replicas_per_endpoint * fair_shares)));
+    return static_cast<std::uint32_t>(std::max(1.0, std::floor(replicas_per_fair_share * fair_shares)));
 }
 
 } // namespace harrierpass
--- a/src/router/origin_protection.cpp
+++ b/src/router/origin_protection.cpp
@@ -6,15 +6,16 @@
 namespace harrierpass {
 namespace {
 
-constexpr double max_backoff = 1;  // s; nothing else can take the origin's place
-constexpr double min_jitter = 0.5; // of the backoff
+constexpr double max_backoff = 1;  // seconds; short because no other endpoint can replace the origin
+constexpr double min_jitter = 0.5; // share of the backoff
 
 } // namespace
 
-double origin_backoff::on_refusal(double attempt_started_at, double now, double minimum, double jitter) {
-    if (attempt_started_at >= last_refusal_at_)
-        backoff_ = std::clamp(2 * backoff_, minimum, max_backoff);
-    last_refusal_at_ = now;
+double origin_backoff::on_rejection(double attempt_started_at, double now, double min_backoff,
+                                    double jitter) {
+    if (attempt_started_at >= last_rejection_at_)
+        backoff_ = std::clamp(2 * backoff_, min_backoff, max_backoff);
+    last_rejection_at_ = now;
     return now + backoff_ * (min_jitter + jitter);
 }
 
--- a/src/router/origin_protection.hpp
+++ b/src/router/origin_protection.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// Protects the origin behind the caches: misses of one key are coalesced into one fetch, and after a refusal
-// the origin is left alone for a time that doubles with each refusal and halves with each response.
+// Protects the origin behind the caches: cache misses of one key are coalesced into one origin fetch, and
+// rejections by the origin cause a backoff that doubles with each rejection and halves with each response.
 #pragma once
 
 #include "router/types.hpp"
@@ -9,35 +9,37 @@
 
 namespace harrierpass {
 
-/// The fetches in progress of one router, which owns them.
+/// The origin fetches in progress of one router, which owns the coalescer.
 ///
-/// Invariant: a key has at most one leader, which ends its fetch when it finishes.
+/// Invariant: a key has at most one leader, the request that fetches it. The leader ends the fetch when it
+/// finishes.
 class fetch_coalescer {
 public:
-    /// The key has a leader.
+    /// A fetch of the key is in progress.
     [[nodiscard]] bool is_in_progress(std::uint64_t key) const { return leaders_.contains(key); }
-    /// Makes the request the leader of the key's fetch, if it has none; true if it was made so.
-    bool begin(std::uint64_t key, request_index leader) { return leaders_.emplace(key, leader).second; }
-    /// The leader has finished.
-    void end(std::uint64_t key) { leaders_.erase(key); }
+    /// Begins a fetch of the key with this leader unless one is in progress; returns true if it began.
+    bool begin_fetch(std::uint64_t key, request_index leader) { return leaders_.emplace(key, leader).second; }
+    /// Ends the fetch of the key.
+    void end_fetch(std::uint64_t key) { leaders_.erase(key); }
 
 private:
     std::unordered_map<std::uint64_t, request_index> leaders_; // by key; never iterated
 };
 
-/// Backoff after refusals of the origin. Its owner is the endpoint record. Times are seconds.
+/// Backoff after rejections by the origin. Owned by the endpoint record. Times are in seconds.
 class origin_backoff {
 public:
-    /// The origin responded.
+    /// Halves the backoff after a response of the origin.
     void on_response() { backoff_ /= 2; }
 
-    /// An attempt that started then was refused; returns the time until which the origin gets no attempts.
-    /// `jitter` is a draw in [0, 1). Attempts in flight at the time of a refusal count as one refusal.
-    double on_refusal(double attempt_started_at, double now, double minimum, double jitter);
+    /// Doubles the backoff after the origin rejected an attempt; returns the time until which the origin gets
+    /// no attempts. `jitter` is a random number in [0, 1). Rejections of attempts that started before the
+    /// previous rejection do not double the backoff.
+    double on_rejection(double attempt_started_at, double now, double min_backoff, double jitter);
 
 private:
-    double backoff_ = 0;         // s
-    double last_refusal_at_ = 0; // s
+    double backoff_ = 0;           // seconds
+    double last_rejection_at_ = 0; // seconds
 };
 
 } // namespace harrierpass
--- a/src/router/quota.hpp
+++ b/src/router/quota.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// Tenant quotas as token buckets. A tenant's rate is divided evenly among the proxies; requests over quota
-// are not refused here, only marked.
+// Tenant quotas as token buckets. Each proxy enforces an equal part of a tenant's rate. This module only
+// detects requests over quota and does not reject them.
 #pragma once
 
 #include "router/types.hpp"
@@ -10,31 +10,32 @@
 
 namespace harrierpass {
 
-/// The buckets of all tenants, owned by the router.
+/// The token buckets of all tenants, owned by one router.
 ///
-/// Invariant: a bucket holds at most the larger of one second's tokens and the burst size. A bucket of rate 0
-/// never marks a request.
+/// Invariant: a bucket holds at most the tokens of one second, or the minimum bucket size if that is larger.
+/// A bucket with rate 0 has no limit.
 class tenant_quotas {
 public:
-    /// Replaces all buckets by full ones. Rates are requests per second over all proxies.
+    /// Replaces all buckets with full ones. Rates are in requests per second over all proxies.
     void configure(std::span<const double> rates, double proxy_count, double now);
 
-    /// Takes a token for a request; true if it is over quota. Tenants without a bucket have no limit.
-    [[nodiscard]] bool is_over_quota(tenant_index tenant, double now);
+    /// Takes a token for a request if one is available; returns true if the request is over quota. Tenants
+    /// without a bucket have no limit.
+    [[nodiscard]] bool charge_request(tenant_index tenant, double now);
 
 private:
-    /// The bucket of one tenant.
+    /// The token bucket of one tenant.
     struct token_bucket {
         double rate;       // tokens per second
         double tokens;     // at `updated_at`
-        double updated_at; // s
+        double updated_at; // seconds
     };
 
-    std::vector<token_bucket> buckets_; // by tenant
+    std::vector<token_bucket> buckets_; // indexed by tenant
 };
 
-/// Attempts of all endpoints above which a request over quota is rejected. `weight_share`: the factor on its
-/// priority weight.
-[[nodiscard]] double over_quota_capacity(double capacity, double weight_share);
+/// Number of attempts in flight at all endpoints from which on requests over quota are rejected.
+/// `over_quota_weight_share`: the factor on their priority weight.
+[[nodiscard]] double over_quota_capacity(double capacity, double over_quota_weight_share);
 
 } // namespace harrierpass
--- a/src/router/request_router.cpp
+++ b/src/router/request_router.cpp
@@ -8,7 +8,7 @@
 namespace harrierpass {
 namespace {
 
-constexpr double timer_period = 0.05; // s
+constexpr double timer_period = 0.05; // seconds
 
 } // namespace
 
@@ -49,7 +49,7 @@
     }
 }
 
-// ---- Events of requests
+// ---- Request events
 
 void request_router::on_request(double now, const request_info &info) {
     now_ = now;
@@ -69,8 +69,8 @@
     request.admission_draw = random_.fraction();
     request.queue_deadline =
         now_ + max_queue_time(std::min(request.class_settings.latency_objective, request.deadline - now_));
-    retry_budget_.earn();
-    request.over_quota = quotas_.is_over_quota(info.tenant, now_);
+    retry_budget_.deposit();
+    request.over_quota = quotas_.charge_request(info.tenant, now_);
     request.priority_weight =
         request.class_settings.priority_weight * (request.over_quota ? over_quota_weight_share_ : 1);
 }
@@ -79,13 +79,14 @@
     request.has_key = info.has_key;
     request.key = info.key;
     const std::uint64_t key = info.has_key ? info.key : random_.key();
-    const std::uint32_t replicas = info.has_key ? hot_keys_.record(key, endpoints_.members().size()) : 1;
-    request.has_hot_key = replicas > 1;
-    request.ring_position = key_position(key, hot_keys_.replica_of(replicas));
+    const std::uint32_t replica_count = info.has_key ? hot_keys_.record(key, endpoints_.members().size()) : 1;
+    request.has_hot_key = replica_count > 1;
+    request.ring_position = key_position(key, hot_keys_.select_replica(replica_count));
 }
 
 void request_router::on_attempt_finished(double now, request_index id, attempt_number number, outcome result,
-                                         bool over, bool fetched, const load_report &report) {
+                                         bool response_complete, bool origin_fetched,
+                                         const load_report &report) {
     now_ = now;
     auto &request = requests_[id];
     if (number.value() >= request.attempts.size() || !request.attempts[number.value()].is_open)
@@ -94,26 +95,27 @@
     attempt.is_open = false;
     attempt.result = result;
     --request.open_attempts;
-    const attempt_result ended = {
+    const attempt_result finished_attempt = {
         attempt.endpoint, attempt.started_at,       request.class_settings.latency_objective,
-        result,           attempt.counts_in_flight, fetched};
-    const bool is_failure = endpoints_.record_result(ended, report, now, random_);
+        result,           attempt.counts_in_flight, origin_fetched};
+    const bool is_failure = endpoints_.record_result(finished_attempt, report, now, random_);
     endpoints_.count_in_flight(attempt, false, now);
-    if (endpoints_.update_health(ended, is_failure, now))
-        cancel_attempts_at(ended.endpoint);
-    apply_request_event(id, event_for(request, result, over));
+    if (endpoints_.update_health(finished_attempt, is_failure, now))
+        cancel_attempts_at(finished_attempt.endpoint);
+    apply_request_event(id, event_for(request, result, response_complete));
     dispatch_queued();
 }
 
-request_event request_router::event_for(const request_record &request, outcome result, bool over) {
-    if (over || request.state == request_state::finished)
+request_event request_router::event_for(const request_record &request, outcome result,
+                                        bool response_complete) {
+    if (response_complete || request.state == request_state::finished)
         return request_event::response_finished;
     if (result == outcome::cache_miss)
         return request_event::cache_miss;
     return known_not_executed(result) ? request_event::not_executed : request_event::possibly_executed;
 }
 
-void request_router::on_response_started(double now, request_index id, bool fetched) {
+void request_router::on_response_started(double now, request_index id, bool origin_fetched) {
     now_ = now;
     auto &request = requests_[id];
     auto &attempt = request.attempts.back();
@@ -121,7 +123,7 @@
     endpoints_.count_in_flight(attempt, false, now);
     endpoints_.record_response_start({attempt.endpoint, attempt.started_at,
                                       request.class_settings.latency_objective, outcome::completed, false,
-                                      fetched},
+                                      origin_fetched},
                                      now);
     dispatch_queued();
 }
@@ -150,7 +152,7 @@
                                            attempt.endpoint);
 }
 
-// ---- Events of endpoints
+// ---- Endpoint events
 
 void request_router::on_endpoints_updated(double now, endpoint_update_kind kind,
                                           std::span<const endpoint_info> entries) {
@@ -166,10 +168,10 @@
     dispatch_queued();
 }
 
-void request_router::on_health_check_finished(double now, endpoint_index endpoint, bool answered,
+void request_router::on_health_check_finished(double now, endpoint_index endpoint, bool responded,
                                               const load_report &report) {
     now_ = now;
-    endpoints_.on_health_check_finished(endpoint, answered, report, now);
+    endpoints_.on_health_check_finished(endpoint, responded, report, now);
 }
 
 bool request_router::avoids_endpoint(endpoint_index endpoint) const {
@@ -210,9 +212,10 @@
 }
 
 void request_router::check_endpoints() {
-    // In a pause of this proxy it read nothing that endpoints sent.
-    const double since_last = now_ - std::exchange(last_check_at_, now_);
-    const double pause = std::max(0.0, since_last - 2 * timer_period);
+    // While this process was paused it could not read responses, so the pause must not count as silence of an
+    // endpoint.
+    const double time_since_last_check = now_ - std::exchange(last_check_at_, now_);
+    const double pause = std::max(0.0, time_since_last_check - 2 * timer_period);
     for (const endpoint_index endpoint : endpoints_.members()) {
         if (endpoints_.check(endpoint, pause, now_))
             cancel_attempts_at(endpoint);
--- a/src/router/retry_policy.cpp
+++ b/src/router/retry_policy.cpp
@@ -9,10 +9,10 @@
 namespace {
 
 constexpr double budget_per_request = 0.2; // retries
-constexpr double budget_burst = 10;        // retries; about what one failing endpoint held
-constexpr double advised_wait_share = 0.5; // of the time left; the rest is for the client and its network
+constexpr double max_budget = 10;          // retries; about the attempts in flight at one failing endpoint
+constexpr double advised_wait_share = 0.5; // share of the remaining time; the rest covers client and network
 
-// The earliest of the attempts that may have been executed, or still may be; null: there is none.
+// The earliest attempt that was possibly executed or is still open; null if there is none.
 const attempt_record *first_possibly_executed(std::span<const attempt_record> attempts) {
     const auto found = std::ranges::find_if(attempts, [](const attempt_record &attempt) {
         return attempt.is_open || !known_not_executed(attempt.result);
@@ -26,10 +26,10 @@
 
 } // namespace
 
-retry_budget::retry_budget() : tokens_(budget_burst) {}
+retry_budget::retry_budget() : tokens_(max_budget) {}
 
-void retry_budget::earn() {
-    tokens_ = std::min(budget_burst, tokens_ + budget_per_request);
+void retry_budget::deposit() {
+    tokens_ = std::min(max_budget, tokens_ + budget_per_request);
 }
 
 void retry_policy::configure(const deployment_constraints &constraints, double deadline_margin) {
@@ -38,7 +38,7 @@
 }
 
 double retry_policy::dispatch_deadline(const request_record &request, std::size_t attempt_count,
-                                       const endpoint_table &endpoints, endpoint_index to) const {
+                                       const endpoint_table &endpoints, endpoint_index endpoint) const {
     const auto &settings = request.class_settings;
     const auto *first = first_possibly_executed(std::span(request.attempts).first(attempt_count));
     if (first == nullptr || settings.effect == effect_kind::idempotent)
@@ -48,7 +48,9 @@
     const double window_end = first->started_at + settings.deduplication_window - deadline_margin_;
     if (settings.scope == deduplication_scope::all)
         return window_end;
-    return shares_scope(settings.scope, endpoints[first->endpoint].info, endpoints[to].info) ? window_end : 0;
+    return shares_scope(settings.scope, endpoints[first->endpoint].info, endpoints[endpoint].info)
+               ? window_end
+               : 0;
 }
 
 double retry_policy::client_retry_deadline(const request_record &request) const {
@@ -61,8 +63,8 @@
     return first->started_at + settings.deduplication_window - deadline_margin_;
 }
 
-double retry_policy::advised_wait(double time_left) const {
-    return std::min(constraints_.max_retry_after, std::max(0.0, time_left * advised_wait_share));
+double retry_policy::advised_wait(double remaining_time) const {
+    return std::min(constraints_.max_retry_after, std::max(0.0, remaining_time * advised_wait_share));
 }
 
 bool retry_policy::allows_retry(const request_record &request) {
--- a/tests/router/hot_keys_test.cpp
+++ b/tests/router/hot_keys_test.cpp
@@ -5,15 +5,15 @@
 
 namespace harrierpass {
 
-TEST_CASE("hot keys: a key gets two replicas for each fair share of an endpoint") {
+TEST_CASE("hot keys: a key has two replicas for each fair share of requests that it draws") {
     hot_keys keys(0);
     for (int i = 0; i < 16; ++i)
         CHECK(keys.record(1, 4) <= 2);
-    CHECK(keys.record(1, 4) == 2); // 16 earlier requests of 64: the fair share of one of four endpoints
+    CHECK(keys.record(1, 4) == 2); // 16 of 64 requests are the fair share of one of four endpoints
     CHECK(keys.record(2, 4) == 1);
 }
 
-TEST_CASE("hot keys: a key cools down once it has left the window") {
+TEST_CASE("hot keys: a key has one replica again after it has left the window") {
     hot_keys keys(0);
     for (int i = 0; i < 64; ++i)
         keys.record(1, 10);
@@ -29,11 +29,11 @@
         CHECK(keys.record(1, 0) == 1);
 }
 
-TEST_CASE("hot keys: the draw selects one replica of those there are") {
-    CHECK(hot_keys(0).replica_of(5) == 0);
-    CHECK(hot_keys(0.5).replica_of(5) == 2);
-    CHECK(hot_keys(0.999).replica_of(5) == 4);
-    CHECK(hot_keys(0.999).replica_of(1) == 0);
+TEST_CASE("hot keys: the random number selects one of the replicas") {
+    CHECK(hot_keys(0).select_replica(5) == 0);
+    CHECK(hot_keys(0.5).select_replica(5) == 2);
+    CHECK(hot_keys(0.999).select_replica(5) == 4);
+    CHECK(hot_keys(0.999).select_replica(1) == 0);
 }
 
 } // namespace harrierpass
--- a/tests/router/retry_policy_test.cpp
+++ b/tests/router/retry_policy_test.cpp
@@ -8,97 +8,104 @@
 namespace harrierpass {
 namespace {
 
-constexpr double margin = 0.5;
+constexpr double deadline_margin = 0.5; // seconds
 
-retry_policy configured(index max_attempts = 3) {
+retry_policy make_policy(index max_attempts = 3) {
     deployment_constraints constraints;
     constraints.max_attempts = max_attempts;
     constraints.may_cancel = true;
     constraints.max_retry_after = 4;
-    retry_policy made;
-    made.configure(constraints, margin);
-    return made;
+    retry_policy policy;
+    policy.configure(constraints, deadline_margin);
+    return policy;
 }
 
-// Endpoints 0 and 1 in one cell, 2 in another one of their zone, 3 in another zone.
-endpoint_table endpoints() {
-    endpoint_table made;
-    made.at_or_new(3_endpoint);
+// Endpoints 0 and 1 share a cell, endpoint 2 is in another cell of the same zone, endpoint 3 in another zone.
+endpoint_table make_endpoints() {
+    endpoint_table table;
+    table.at_or_new(3_endpoint);
     for (endpoint_index endpoint{0}; endpoint < 4_endpoint; ++endpoint) {
-        made[endpoint].info.zone = endpoint == 3_endpoint ? 1_zone : 0_zone;
-        made[endpoint].info.cell = endpoint < 2_endpoint ? 0_cell : cell_index(endpoint.value());
+        table[endpoint].info.zone = endpoint == 3_endpoint ? 1_zone : 0_zone;
+        table[endpoint].info.cell = endpoint < 2_endpoint ? 0_cell : cell_index(endpoint.value());
     }
-    return made;
+    return table;
 }
 
-// A request that was sent to endpoint 0 at 10 s.
-request_record sent(effect_kind effect, deduplication_scope scope, outcome result) {
-    request_record made;
-    made.class_settings.effect = effect;
-    made.class_settings.scope = scope;
-    made.class_settings.deduplication_window = 5;
-    made.deadline = 100;
-    made.attempts.push_back({0_endpoint, 10});
-    made.attempts.back().is_open = false;
-    made.attempts.back().result = result;
-    return made;
+// A request whose only attempt started at endpoint 0 at 10 seconds and ended with `result`.
+request_record make_attempted_request(effect_kind effect, deduplication_scope scope, outcome result) {
+    request_record request;
+    request.class_settings.effect = effect;
+    request.class_settings.scope = scope;
+    request.class_settings.deduplication_window = 5;
+    request.deadline = 100;
+    request.attempts.push_back({0_endpoint, 10});
+    request.attempts.back().is_open = false;
+    request.attempts.back().result = result;
+    return request;
 }
 
 } // namespace
 
-TEST_CASE("retry policy: an idempotent request, and one that was not executed, may go anywhere at any time") {
-    const auto policy = configured();
-    const auto table = endpoints();
-    const auto harmless = sent(effect_kind::idempotent, deduplication_scope::cell, outcome::reset);
-    CHECK(std::isinf(policy.dispatch_deadline(harmless, 1, table, 3_endpoint)));
-    CHECK(std::isinf(policy.client_retry_deadline(harmless)));
+TEST_CASE("retry policy: idempotent and unexecuted requests may be retried at any endpoint at any time") {
+    const auto policy = make_policy();
+    const auto table = make_endpoints();
+    const auto idempotent =
+        make_attempted_request(effect_kind::idempotent, deduplication_scope::cell, outcome::reset);
+    CHECK(std::isinf(policy.dispatch_deadline(idempotent, 1, table, 3_endpoint)));
+    CHECK(std::isinf(policy.client_retry_deadline(idempotent)));
     for (const auto result : {outcome::connect_error, outcome::overloaded, outcome::discarded_unread}) {
-        const auto request = sent(effect_kind::non_idempotent, deduplication_scope::cell, result);
+        const auto request =
+            make_attempted_request(effect_kind::non_idempotent, deduplication_scope::cell, result);
         CHECK(std::isinf(policy.dispatch_deadline(request, 1, table, 3_endpoint)));
         CHECK(std::isinf(policy.client_retry_deadline(request)));
     }
 }
 
-TEST_CASE("retry policy: a non-idempotent request that was possibly executed is never sent again") {
-    const auto policy = configured();
-    auto request = sent(effect_kind::non_idempotent, deduplication_scope::all, outcome::reset);
-    CHECK(policy.dispatch_deadline(request, 1, endpoints(), 0_endpoint) == 0);
+TEST_CASE("retry policy: a possibly executed non-idempotent request is never retried") {
+    const auto policy = make_policy();
+    auto request =
+        make_attempted_request(effect_kind::non_idempotent, deduplication_scope::all, outcome::reset);
+    CHECK(policy.dispatch_deadline(request, 1, make_endpoints(), 0_endpoint) == 0);
     CHECK(policy.client_retry_deadline(request) == 0);
     CHECK(!retry_policy::allows_retry(request));
     CHECK(!policy.allows_cancel(request, 20));
     request.attempts.back().result = outcome::overloaded;
-    request.attempts.back().is_open = true; // it may yet be executed
-    CHECK(policy.dispatch_deadline(request, 1, endpoints(), 0_endpoint) == 0);
-    CHECK(std::isinf(policy.dispatch_deadline(request, 0, endpoints(), 0_endpoint)));
+    request.attempts.back().is_open = true; // it may still be executed
+    CHECK(policy.dispatch_deadline(request, 1, make_endpoints(), 0_endpoint) == 0);
+    CHECK(std::isinf(policy.dispatch_deadline(request, 0, make_endpoints(), 0_endpoint)));
 }
 
-TEST_CASE("retry policy: a deduplicated request may be sent again within its scope and window") {
-    const auto policy = configured();
-    const auto table = endpoints();
-    const double end = 10 + 5 - margin;
-    const auto in_cell = sent(effect_kind::deduplicated, deduplication_scope::cell, outcome::reset);
-    CHECK(policy.dispatch_deadline(in_cell, 1, table, 1_endpoint) == end);
-    CHECK(policy.dispatch_deadline(in_cell, 1, table, 2_endpoint) == 0);
-    CHECK(policy.client_retry_deadline(in_cell) == 0);
-    const auto in_zone = sent(effect_kind::deduplicated, deduplication_scope::zone, outcome::reset);
-    CHECK(policy.dispatch_deadline(in_zone, 1, table, 2_endpoint) == end);
-    CHECK(policy.dispatch_deadline(in_zone, 1, table, 3_endpoint) == 0);
-    CHECK(policy.client_retry_deadline(in_zone) == 0);
-    const auto anywhere = sent(effect_kind::deduplicated, deduplication_scope::all, outcome::reset);
-    CHECK(policy.dispatch_deadline(anywhere, 1, table, 3_endpoint) == end);
-    CHECK(policy.client_retry_deadline(anywhere) == end);
+TEST_CASE("retry policy: a deduplicated request may be retried within its scope and window") {
+    const auto policy = make_policy();
+    const auto table = make_endpoints();
+    const double window_end = 10 + 5 - deadline_margin;
+    const auto cell_scoped =
+        make_attempted_request(effect_kind::deduplicated, deduplication_scope::cell, outcome::reset);
+    CHECK(policy.dispatch_deadline(cell_scoped, 1, table, 1_endpoint) == window_end);
+    CHECK(policy.dispatch_deadline(cell_scoped, 1, table, 2_endpoint) == 0);
+    CHECK(policy.client_retry_deadline(cell_scoped) == 0);
+    const auto zone_scoped =
+        make_attempted_request(effect_kind::deduplicated, deduplication_scope::zone, outcome::reset);
+    CHECK(policy.dispatch_deadline(zone_scoped, 1, table, 2_endpoint) == window_end);
+    CHECK(policy.dispatch_deadline(zone_scoped, 1, table, 3_endpoint) == 0);
+    CHECK(policy.client_retry_deadline(zone_scoped) == 0);
+    const auto unscoped =
+        make_attempted_request(effect_kind::deduplicated, deduplication_scope::all, outcome::reset);
+    CHECK(policy.dispatch_deadline(unscoped, 1, table, 3_endpoint) == window_end);
+    CHECK(policy.client_retry_deadline(unscoped) == window_end);
 }
 
-TEST_CASE("retry policy: the window starts with the first attempt that was possibly executed") {
-    const auto policy = configured();
-    auto request = sent(effect_kind::deduplicated, deduplication_scope::all, outcome::overloaded);
+TEST_CASE("retry policy: the window starts with the first possibly executed attempt") {
+    const auto policy = make_policy();
+    auto request =
+        make_attempted_request(effect_kind::deduplicated, deduplication_scope::all, outcome::overloaded);
     request.attempts.push_back({1_endpoint, 12});
     request.attempts.push_back({2_endpoint, 14});
-    CHECK(policy.dispatch_deadline(request, 3, endpoints(), 3_endpoint) == 12 + 5 - margin);
+    CHECK(policy.dispatch_deadline(request, 3, make_endpoints(), 3_endpoint) == 12 + 5 - deadline_margin);
 }
 
-TEST_CASE("retry policy: reads from the origin are not retried, writes are") {
-    auto request = sent(effect_kind::idempotent, deduplication_scope::all, outcome::reset);
+TEST_CASE("retry policy: writes at the origin are retried, reads from it are not") {
+    auto request = make_attempted_request(effect_kind::idempotent, deduplication_scope::all, outcome::reset);
     CHECK(retry_policy::allows_retry(request));
     request.uses_origin = true;
     CHECK(!retry_policy::allows_retry(request));
@@ -106,46 +113,46 @@
     CHECK(retry_policy::allows_retry(request));
 }
 
-TEST_CASE("retry policy: attempts and time are limited") {
-    const auto policy = configured(2);
-    auto request = sent(effect_kind::idempotent, deduplication_scope::all, outcome::reset);
+TEST_CASE("retry policy: the number of attempts and the deadline limit retries") {
+    const auto policy = make_policy(2);
+    auto request = make_attempted_request(effect_kind::idempotent, deduplication_scope::all, outcome::reset);
     CHECK(!policy.is_exhausted(request, 99));
     CHECK(policy.is_exhausted(request, 100));
     CHECK(policy.allows_cancel(request, 99));
     CHECK(policy.is_last_retry(request));
     CHECK(!policy.has_attempts_for_fetch(request));
-    CHECK(configured(3).has_attempts_for_fetch(request));
-    CHECK(!configured(1).is_last_retry(request_record{}));
+    CHECK(make_policy(3).has_attempts_for_fetch(request));
+    CHECK(!make_policy(1).is_last_retry(request_record{}));
     request.attempts.push_back({1_endpoint, 11});
     CHECK(policy.is_exhausted(request, 99));
     CHECK(!policy.allows_cancel(request, 99));
 }
 
-TEST_CASE("retry policy: the advised wait is half of the time left, within its bounds") {
-    const auto policy = configured();
+TEST_CASE("retry policy: the advised wait is half of the remaining time, within its bounds") {
+    const auto policy = make_policy();
     CHECK(policy.advised_wait(-1) == 0);
     CHECK(policy.advised_wait(3) == 1.5);
     CHECK(policy.advised_wait(100) == 4);
 }
 
-TEST_CASE("retry budget: a fifth of the requests, saved up to ten retries") {
+TEST_CASE("retry budget: grows by a fifth of a retry per request, up to ten retries") {
     retry_budget budget;
     for (int i = 0; i < 10; ++i) {
         CHECK(budget.is_available());
-        budget.spend();
+        budget.withdraw();
     }
     CHECK(!budget.is_available());
     for (int i = 0; i < 6; ++i)
-        budget.earn();
+        budget.deposit();
     CHECK(budget.is_available());
-    budget.spend();
+    budget.withdraw();
     CHECK(!budget.is_available());
     for (int i = 0; i < 1000; ++i)
-        budget.earn();
-    int saved = 0;
-    for (; budget.is_available(); ++saved)
-        budget.spend();
-    CHECK(saved == 10);
+        budget.deposit();
+    int retries = 0;
+    for (; budget.is_available(); ++retries)
+        budget.withdraw();
+    CHECK(retries == 10);
 }
 
 } // namespace harrierpass
