--- a/tests/router/request_queue_test.cpp
+++ b/tests/router/request_queue_test.cpp
@@ -6,7 +6,7 @@
 
 namespace harrierpass {
 
-TEST_CASE("request queue: higher weights go first, older requests first among equals") {
+TEST_CASE("request queue: requests are ordered by descending priority weight, then by age") {
     request_queue queue;
     queue.add(1_request, 1);
     queue.add(2_request, 5);
@@ -16,7 +16,7 @@
     CHECK(queue.next_batch().size() == 4);
 }
 
-TEST_CASE("request queue: a request is queued once and keeps its place") {
+TEST_CASE("request queue: adding a queued request again keeps its position") {
     request_queue queue;
     CHECK(queue.add(1_request, 1));
     CHECK(queue.add(2_request, 1));
@@ -28,7 +28,7 @@
     CHECK(queue.next_batch() == std::vector{2_request, 1_request});
 }
 
-TEST_CASE("request queue: a batch is bounded") {
+TEST_CASE("request queue: a batch has at most 16 requests") {
     request_queue queue;
     CHECK(queue.next_batch().empty());
     for (request_index request{0}; request < 40_request; ++request)
@@ -37,7 +37,7 @@
     CHECK(queue.next_batch().back() == 15_request);
 }
 
-TEST_CASE("request queue: a request waits for a quarter of the time allowed") {
+TEST_CASE("request queue: the longest queueing time is a quarter of the allowed time") {
     CHECK(max_queue_time(2) == 0.5);
 }
 
--- a/tests/router/request_router_test.cpp
+++ b/tests/router/request_router_test.cpp
@@ -9,26 +9,27 @@
 namespace harrierpass {
 namespace {
 
-router_settings settings(effect_kind effect) {
-    router_settings made;
-    made.request_classes.push_back({effect, deduplication_scope::all, 5, 1, 1, 0});
-    made.constraints.max_attempts = 2;
-    made.constraints.max_retry_after = 3;
-    return made;
+router_settings make_settings(effect_kind effect) {
+    router_settings settings;
+    settings.request_classes.push_back({effect, deduplication_scope::all, 5, 1, 1, 0});
+    settings.constraints.max_attempts = 2;
+    settings.constraints.max_retry_after = 3;
+    return settings;
 }
 
-std::vector<action_kind> taken(request_router &route) {
+// Returns the kinds of the pending actions and clears the actions.
+std::vector<action_kind> take_actions(request_router &router) {
     std::vector<action_kind> kinds;
-    for (const auto &each : route.actions)
-        kinds.push_back(each.kind);
-    route.actions.clear();
+    for (const auto &action : router.actions)
+        kinds.push_back(action.kind);
+    router.actions.clear();
     return kinds;
 }
 
-void list_two(request_router &route) {
-    const std::array<endpoint_info, 2> both = {{{0_endpoint, "a"}, {1_endpoint, "b"}}};
-    route.on_endpoints_updated(0, endpoint_update_kind::snapshot, both);
-    route.actions.clear();
+void list_two_endpoints(request_router &router) {
+    const std::array<endpoint_info, 2> endpoints = {{{0_endpoint, "a"}, {1_endpoint, "b"}}};
+    router.on_endpoints_updated(0, endpoint_update_kind::snapshot, endpoints);
+    router.actions.clear();
 }
 
 using kinds = std::vector<action_kind>;
@@ -36,79 +37,79 @@
 
 } // namespace
 
-TEST_CASE("request router: a completed request is released, and its index may be used again") {
-    request_router route(settings(effect_kind::idempotent), 1, 0);
-    CHECK(taken(route) == kinds{set_timer});
-    list_two(route);
+TEST_CASE("request router: a completed request is released and its index can be reused") {
+    request_router router(make_settings(effect_kind::idempotent), 1, 0);
+    CHECK(take_actions(router) == kinds{set_timer});
+    list_two_endpoints(router);
     for (int round = 0; round < 2; ++round) {
-        route.on_request(1, {0_request, 0_class, 0_tenant, true, false, 7, 10});
-        CHECK(taken(route) == kinds{start_attempt});
-        route.on_attempt_finished(1.1, 0_request, 0_attempt, outcome::completed, true, false, {});
-        CHECK(taken(route) == kinds{release_request});
-        // Reported twice.
-        route.on_attempt_finished(1.1, 0_request, 0_attempt, outcome::completed, true, false, {});
-        CHECK(taken(route).empty());
+        router.on_request(1, {0_request, 0_class, 0_tenant, true, false, 7, 10});
+        CHECK(take_actions(router) == kinds{start_attempt});
+        router.on_attempt_finished(1.1, 0_request, 0_attempt, outcome::completed, true, false, {});
+        CHECK(take_actions(router) == kinds{release_request});
+        // A second report of the same attempt is ignored.
+        router.on_attempt_finished(1.1, 0_request, 0_attempt, outcome::completed, true, false, {});
+        CHECK(take_actions(router).empty());
     }
 }
 
-TEST_CASE("request router: a possibly executed request is retried at the other endpoint, or rejected") {
-    request_router retried(settings(effect_kind::idempotent), 1, 0);
-    list_two(retried);
-    retried.on_request(1, {0_request, 0_class, 0_tenant, true, false, 7, 10});
-    const auto first = retried.actions.back().endpoint;
-    retried.actions.clear();
-    retried.on_attempt_finished(1.1, 0_request, 0_attempt, outcome::reset, false, false, {});
-    CHECK(retried.actions.back().endpoint == endpoint_index(1 - first.value()));
-    CHECK(taken(retried) == kinds{start_attempt});
-    retried.on_attempt_finished(1.2, 0_request, 1_attempt, outcome::reset, false, false, {});
-    CHECK(taken(retried) == kinds{reject_request, release_request});
+TEST_CASE("request router: a possibly executed request is retried at another endpoint only if idempotent") {
+    request_router idempotent_router(make_settings(effect_kind::idempotent), 1, 0);
+    list_two_endpoints(idempotent_router);
+    idempotent_router.on_request(1, {0_request, 0_class, 0_tenant, true, false, 7, 10});
+    const auto first_endpoint = idempotent_router.actions.back().endpoint;
+    idempotent_router.actions.clear();
+    idempotent_router.on_attempt_finished(1.1, 0_request, 0_attempt, outcome::reset, false, false, {});
+    CHECK(idempotent_router.actions.back().endpoint == endpoint_index(1 - first_endpoint.value()));
+    CHECK(take_actions(idempotent_router) == kinds{start_attempt});
+    idempotent_router.on_attempt_finished(1.2, 0_request, 1_attempt, outcome::reset, false, false, {});
+    CHECK(take_actions(idempotent_router) == kinds{reject_request, release_request});
 
-    request_router once(settings(effect_kind::non_idempotent), 1, 0);
-    list_two(once);
-    once.on_request(1, {0_request, 0_class, 0_tenant, true, false, 7, 10});
-    once.actions.clear();
-    once.on_attempt_finished(1.1, 0_request, 0_attempt, outcome::reset, false, false, {});
-    CHECK(taken(once) == kinds{fail_request, release_request});
+    request_router non_idempotent_router(make_settings(effect_kind::non_idempotent), 1, 0);
+    list_two_endpoints(non_idempotent_router);
+    non_idempotent_router.on_request(1, {0_request, 0_class, 0_tenant, true, false, 7, 10});
+    non_idempotent_router.actions.clear();
+    non_idempotent_router.on_attempt_finished(1.1, 0_request, 0_attempt, outcome::reset, false, false, {});
+    CHECK(take_actions(non_idempotent_router) == kinds{fail_request, release_request});
 }
 
-TEST_CASE("request router: without endpoints a request waits until its queue deadline") {
-    request_router route(settings(effect_kind::idempotent), 1, 0);
-    route.actions.clear();
-    route.on_request(1, {0_request, 0_class, 0_tenant, true, false, 7, 10});
-    CHECK(taken(route).empty());
-    route.on_timer(1.2);
-    CHECK(taken(route) == kinds{set_timer});
-    route.on_timer(1.3); // a quarter of the latency objective has passed
-    CHECK(taken(route) == kinds{set_timer, reject_request, release_request});
+TEST_CASE("request router: without endpoints a request is rejected at its queue deadline") {
+    request_router router(make_settings(effect_kind::idempotent), 1, 0);
+    router.actions.clear();
+    router.on_request(1, {0_request, 0_class, 0_tenant, true, false, 7, 10});
+    CHECK(take_actions(router).empty());
+    router.on_timer(1.2);
+    CHECK(take_actions(router) == kinds{set_timer});
+    router.on_timer(1.3); // a quarter of the latency objective has passed
+    CHECK(take_actions(router) == kinds{set_timer, reject_request, release_request});
 }
 
-TEST_CASE("request router: a queued request is dispatched when endpoints are listed") {
-    request_router route(settings(effect_kind::idempotent), 1, 0);
-    route.actions.clear();
-    route.on_request(1, {0_request, 0_class, 0_tenant, true, false, 7, 10});
-    const std::array<endpoint_info, 1> one = {{{0_endpoint, "a"}}};
-    route.on_endpoints_updated(1.1, endpoint_update_kind::snapshot, one);
-    CHECK(taken(route) == kinds{start_attempt});
+TEST_CASE("request router: a queued request is dispatched when an endpoint is listed") {
+    request_router router(make_settings(effect_kind::idempotent), 1, 0);
+    router.actions.clear();
+    router.on_request(1, {0_request, 0_class, 0_tenant, true, false, 7, 10});
+    const std::array<endpoint_info, 1> endpoints = {{{0_endpoint, "a"}}};
+    router.on_endpoints_updated(1.1, endpoint_update_kind::snapshot, endpoints);
+    CHECK(take_actions(router) == kinds{start_attempt});
 }
 
-TEST_CASE("request router: a request is released only after its attempts have ended") {
-    request_router route(settings(effect_kind::idempotent), 1, 0);
-    list_two(route);
-    route.on_request(1, {0_request, 0_class, 0_tenant, true, false, 7, 10});
-    route.actions.clear();
-    route.on_client_disconnected(1.1, 0_request);
-    CHECK(taken(route).empty());
-    route.on_attempt_finished(1.2, 0_request, 0_attempt, outcome::canceled, false, false, {});
-    CHECK(taken(route) == kinds{release_request});
+TEST_CASE("request router: a request is released after its last attempt has ended") {
+    request_router router(make_settings(effect_kind::idempotent), 1, 0);
+    list_two_endpoints(router);
+    router.on_request(1, {0_request, 0_class, 0_tenant, true, false, 7, 10});
+    router.actions.clear();
+    router.on_client_disconnected(1.1, 0_request);
+    CHECK(take_actions(router).empty());
+    router.on_attempt_finished(1.2, 0_request, 0_attempt, outcome::canceled, false, false, {});
+    CHECK(take_actions(router) == kinds{release_request});
 }
 
-TEST_CASE("request router: an attempt may be written while its request and its endpoint stand") {
-    request_router route(settings(effect_kind::idempotent), 1, 0);
-    list_two(route);
-    route.on_request(1, {0_request, 0_class, 0_tenant, true, false, 7, 10});
-    CHECK(route.attempt_write_deadline(0_request) > 1e9);
-    route.on_endpoints_updated(1.1, endpoint_update_kind::snapshot, {});
-    CHECK(route.attempt_write_deadline(0_request) == 0);
+TEST_CASE("request router: an attempt may be written only while its endpoint is listed") {
+    request_router router(make_settings(effect_kind::idempotent), 1, 0);
+    list_two_endpoints(router);
+    router.on_request(1, {0_request, 0_class, 0_tenant, true, false, 7, 10});
+    CHECK(router.attempt_write_deadline(0_request) > 1e9);
+    router.on_endpoints_updated(1.1, endpoint_update_kind::snapshot, {});
+    CHECK(router.attempt_write_deadline(0_request) == 0);
 }
 
 } // namespace harrierpass
--- a/tests/router/request_table_test.cpp
+++ b/tests/router/request_table_test.cpp
@@ -6,7 +6,7 @@
 
 namespace harrierpass {
 
-TEST_CASE("request table: a new holder of an index has another generation and no history") {
+TEST_CASE("request table: a reused index has a new generation and an empty record") {
     request_table table;
     auto &first = table.create(3_request);
     CHECK(table.end_index() == 4_request);
@@ -24,7 +24,7 @@
     CHECK(!table[0_request].is_live);
 }
 
-TEST_CASE("request table: timers fall due in order of time") {
+TEST_CASE("request table: timers are taken in order of their due time") {
     request_timers timers;
     CHECK(!timers.take_due(100));
     timers.add(3, 1_request, 1);
@@ -37,7 +37,7 @@
     CHECK(timers.take_due(3)->request == 1_request);
 }
 
-TEST_CASE("request table: a timer expires a request of its generation whose deadline has passed") {
+TEST_CASE("request table: a timer expires only a request of its generation with a passed deadline") {
     request_table table;
     auto &request = table.create(0_request);
     request.deadline = 10;
@@ -45,13 +45,13 @@
     const request_timer timer = {5, 0_request, request.generation};
     CHECK(!is_expired(timer, request, 4.9));
     CHECK(is_expired(timer, request, 5));
-    request.state = request_state::in_progress; // the queue deadline no longer holds
+    request.state = request_state::in_progress; // the queue deadline no longer applies
     CHECK(!is_expired(timer, request, 5));
     CHECK(is_expired(timer, request, 10));
     table.release(0_request);
     CHECK(!is_expired(timer, table[0_request], 10));
-    auto &next = table.create(0_request);
-    CHECK(!is_expired(timer, next, 10));
+    auto &reused = table.create(0_request);
+    CHECK(!is_expired(timer, reused, 10));
 }
 
 } // namespace harrierpass
