--- a/src/net/buffer_pool.hpp
+++ b/src/net/buffer_pool.hpp
@@ -11,8 +11,7 @@
 
 namespace harrierpass {
 
-inline constexpr std::size_t max_head_size =
-    std::size_t{8} * 1024; // bytes; heads of the protocol have a few hundred
+inline constexpr std::size_t max_head_size = std::size_t{8} * 1024;  // bytes; usual heads have some hundred
 inline constexpr std::size_t max_body_size = std::size_t{64} * 1024; // bytes; limit of the protocol
 inline constexpr std::size_t buffer_size = max_head_size + max_body_size;
 
@@ -38,8 +37,8 @@
     void release(char *buffer) noexcept;
 
     mutable std::mutex mutex_; // protects idle_
-    std::vector<std::unique_ptr<char[]>>
-        idle_; // its capacity is reserved, so that release() does not allocate
+    // Its capacity is reserved, so that release() does not allocate.
+    std::vector<std::unique_ptr<char[]>> idle_;
 };
 
 inline std::span<char> whole_buffer(const buffer_pool::buffer_handle &buffer) {
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -14,8 +14,7 @@
 constexpr std::size_t max_fields = 64;          // heads of the protocol have about 10
 constexpr std::size_t max_chunk_line = 1024;    // bytes, including chunk extensions
 constexpr std::size_t max_trailer_size = 65536; // bytes
-constexpr std::size_t max_length_digits =
-    15; // of the size of a body or a chunk, which then fits into 64 bits
+constexpr std::size_t max_length_digits = 15;   // of a body or chunk size, which then fits into 64 bits
 
 bool is_token(string_view text) {
     return !text.empty() && std::all_of(text.begin(), text.end(), [](char c) {
@@ -199,7 +198,7 @@
     return begin_body();
 }
 
-// A response starts with its version, in capitals; a request starts with a method, which is a token.
+// A response starts with its version, which is case-sensitive; a request starts with a method, a token.
 bool http_reader::can_start_message(string_view text) const {
     static constexpr string_view version = "HTTP/1.";
     if (kind_ == message_kind::response)
--- a/tests/support/testbed_helpers.hpp
+++ b/tests/support/testbed_helpers.hpp
@@ -26,8 +26,8 @@
 }
 
 // A fault in an experiment file; `fields` are its other lines.
-inline std::string fault(const std::string &kind, const std::string &at, const std::string &fields) {
-    return "[[fault]]\nkind = \"" + kind + "\"\nat = \"" + at + "\"\n" + fields + "\n";
+inline std::string fault(const std::string &kind, const std::string &start_time, const std::string &fields) {
+    return "[[fault]]\nkind = \"" + kind + "\"\nat = \"" + start_time + "\"\n" + fields + "\n";
 }
 
 // A link fault from 1 s to 2 s after the start of the run.
