--- a/src/router/indexed_vector.hpp
+++ b/src/router/indexed_vector.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// A vector whose elements are found by an index of one kind.
+// A vector that is accessed by a typed index.
 #pragma once
 
 #include "router/typed_index.hpp"
@@ -10,32 +10,32 @@
 
 namespace harrierpass {
 
-/// Elements by `Index`, a typed_index, from 0 upwards without gaps. It owns its elements.
+/// Vector with positions of type `Index`, a typed_index.
 template <typename Index, typename Element> class indexed_vector {
 public:
-    /// The element of an index that is within the size.
-    decltype(auto) operator[](Index at) { return elements_[at.value()]; }
-    /// The same, for reading.
-    decltype(auto) operator[](Index at) const { return elements_[at.value()]; }
-
-    /// There is an element of this index.
-    [[nodiscard]] bool contains(Index at) const { return at.value() < elements_.size(); }
-    /// The index after the last one.
+    /// Returns the element at an index, which must be less than end_index().
+    decltype(auto) operator[](Index position) { return elements_[position.value()]; }
+    /// Read-only access to the element at an index.
+    decltype(auto) operator[](Index position) const { return elements_[position.value()]; }
+
+    /// True if there is an element at this index.
+    [[nodiscard]] bool contains(Index position) const { return position.value() < elements_.size(); }
+    /// Returns the index after the last element.
     [[nodiscard]] Index end_index() const { return Index(static_cast<index>(elements_.size())); }
 
-    /// Adds default elements up to the index, if there is none of it yet.
-    void grow_to(Index at) {
-        if (!contains(at))
-            elements_.resize(std::size_t{at.value()} + 1);
+    /// Appends default elements until there is one at this index.
+    void grow_to(Index position) {
+        if (!contains(position))
+            elements_.resize(std::size_t{position.value()} + 1);
     }
-    /// Adds an element; returns its index.
+    /// Appends an element; returns its index.
     Index add(Element element) {
-        const Index at = end_index();
+        const Index position = end_index();
         elements_.push_back(std::move(element));
-        return at;
+        return position;
     }
 
-    /// The elements in the order of their indices.
+    /// Iterates over the elements in the order of their indices.
     auto begin() { return elements_.begin(); }
     auto begin() const { return elements_.begin(); }
     auto end() { return elements_.end(); }
--- a/src/router/random_source.hpp
+++ b/src/router/random_source.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// The random draws of one router. The number and the order of the draws are part of its decisions: equal
-// seeds and events give equal actions.
+// Random number generator of one router. The router's decisions depend on the number and the order of the
+// draws: equal seeds and events give equal actions.
 #pragma once
 
 #include <cstdint>
@@ -8,19 +8,19 @@
 
 namespace harrierpass {
 
-/// A seeded generator (Park and Miller's minimal standard), owned by the router.
+/// Seeded generator (Park and Miller's minimal standard), owned by the router.
 class random_source {
 public:
-    /// Equal seeds give equal draws.
+    /// Creates a generator; equal seeds give equal draws.
     explicit random_source(std::uint32_t seed) : engine_(seed) {}
 
-    /// Uniform in [0, 1).
+    /// Draws a number uniformly from [0, 1).
     double fraction() {
         constexpr auto values = static_cast<double>(std::minstd_rand::max());
         return (static_cast<double>(engine_()) - 1) / values;
     }
 
-    /// A key for a request that has none.
+    /// Draws a key for a request without one.
     std::uint64_t key() {
         constexpr int low_bits = 31;
         const std::uint64_t high = engine_();
--- a/src/router/typed_index.hpp
+++ b/src/router/typed_index.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// Dense indices as types of their own, so that an index of one kind cannot stand where another kind is meant.
-// Indices are assigned from 0 upwards by the owner of the table that they point into.
+// Strongly typed dense indices, so that an index of one kind cannot be used as an index of another kind. The
+// owner of the indexed table assigns them from 0 upwards.
 #pragma once
 
 #include <cstddef>
@@ -11,36 +11,36 @@
 
 namespace harrierpass {
 
-/// Dense index of no particular kind, or a small count.
+/// Untyped dense index, or a small count.
 using index = std::uint32_t;
 
-/// An index of the kind that `Tag` names. It converts neither to a number nor to another kind by itself.
+/// Index of the kind given by `Tag`, without implicit conversion to a number or to another kind.
 template <typename Tag> class typed_index {
 public:
-    /// Index 0.
+    /// Creates index 0.
     constexpr typed_index() = default;
-    /// The index with this number.
+    /// Creates the index with this number.
     constexpr explicit typed_index(index value) : value_(value) {}
 
-    /// The number, for use as a position in a table.
+    /// Returns the number, for use as a position in a table.
     [[nodiscard]] constexpr index value() const { return value_; }
 
-    /// Moves on to the next index.
+    /// Advances to the next index.
     constexpr typed_index &operator++() {
         ++value_;
         return *this;
     }
 
-    /// Equal where the numbers are.
+    /// Compares the numbers.
     friend constexpr bool operator==(typed_index, typed_index) = default;
-    /// Indices of one kind are ordered by their numbers.
+    /// Orders indices of one kind by their numbers.
     friend constexpr bool operator<(typed_index left, typed_index right) {
         return left.value_ < right.value_;
     }
 
     /// Writes the number.
-    friend std::ostream &operator<<(std::ostream &output, typed_index written) {
-        return output << written.value_;
+    friend std::ostream &operator<<(std::ostream &output, typed_index number) {
+        return output << number.value_;
     }
 
 private:
@@ -49,12 +49,12 @@
 
 /// The type of `none`, which converts to every kind of index.
 struct no_index {
-    /// The number that stands for "no index".
+    /// Number that represents "no index".
     static constexpr index value = std::numeric_limits<index>::max();
 
-    /// "No index" of a kind.
+    /// Converts to "no index" of a kind.
     template <typename Tag> constexpr operator typed_index<Tag>() const { return typed_index<Tag>(value); }
-    /// "No index" of no particular kind.
+    /// Converts to an untyped "no index".
     constexpr operator index() const { return value; }
 };
 
@@ -63,10 +63,10 @@
 
 } // namespace harrierpass
 
-/// Hashes an index as its number.
+/// Hash of an index: the hash of its number.
 template <typename Tag> struct std::hash<harrierpass::typed_index<Tag>> {
-    /// Equal indices have equal hashes.
-    std::size_t operator()(harrierpass::typed_index<Tag> of) const noexcept {
-        return std::hash<harrierpass::index>{}(of.value());
+    /// Returns the same hash for equal indices.
+    std::size_t operator()(harrierpass::typed_index<Tag> key) const noexcept {
+        return std::hash<harrierpass::index>{}(key.value());
     }
 };
