--- a/src/router/hash_ring.cpp
+++ b/src/router/hash_ring.cpp
@@ -11,8 +11,8 @@
 namespace harrierpass {
 namespace {
 
-constexpr double nodes_per_weight = 160; // virtual nodes; about 8% imbalance
-constexpr double max_nodes = 2560;       // virtual nodes; bounds the memory of the ring
+constexpr double nodes_per_weight = 160; // virtual nodes per unit of weight; load imbalance of about 8%
+constexpr double max_nodes = 2560;       // virtual nodes per endpoint; limits the memory of the ring
 
 } // namespace
 
@@ -32,31 +32,31 @@
 }
 
 void hash_ring::update(std::span<const ring_member> members) {
-    if (placed_.size() < members.size())
-        placed_.resize(members.size());
+    if (node_counts_.size() < members.size())
+        node_counts_.resize(members.size());
     std::erase_if(points_, [&](const ring_point &point) {
         return point.virtual_node >= members[point.endpoint.value()].virtual_nodes;
     });
-    const auto kept = static_cast<std::ptrdiff_t>(points_.size());
+    const auto old_points = static_cast<std::ptrdiff_t>(points_.size());
     for (index position = 0; position < members.size(); ++position) {
         const auto &member = members[position];
-        for (std::uint32_t node = placed_[position]; node < member.virtual_nodes; ++node) {
+        for (std::uint32_t node = node_counts_[position]; node < member.virtual_nodes; ++node) {
             std::string name(member.id);
             name.append(":").append(std::to_string(node));
             points_.push_back({ring_hash(name), endpoint_index(position), node});
         }
-        placed_[position] = member.virtual_nodes;
+        node_counts_[position] = member.virtual_nodes;
     }
-    std::sort(points_.begin() + kept, points_.end());
-    std::inplace_merge(points_.begin(), points_.begin() + kept, points_.end());
+    std::sort(points_.begin() + old_points, points_.end());
+    std::inplace_merge(points_.begin(), points_.begin() + old_points, points_.end());
 }
 
 void hash_ring::reset(endpoint_index endpoint) {
-    if (endpoint.value() < placed_.size())
-        placed_[endpoint.value()] = 0;
+    if (endpoint.value() < node_counts_.size())
+        node_counts_[endpoint.value()] = 0;
 }
 
-std::size_t hash_ring::first_after(std::uint64_t position) const {
+std::size_t hash_ring::first_point_after(std::uint64_t position) const {
     const auto found =
         std::upper_bound(points_.begin(), points_.end(), position,
                          [](std::uint64_t key, const ring_point &point) { return key < point.position; });
--- a/src/router/load_reports.cpp
+++ b/src/router/load_reports.cpp
@@ -6,8 +6,8 @@
 namespace harrierpass {
 namespace {
 
-constexpr double report_weight = 0.05; // of a report in the mean
-constexpr double report_memory = 4;    // s; time constant of the decay towards the mean
+constexpr double report_weight = 0.05;  // weight of a report in the mean
+constexpr double report_decay_time = 4; // s; time constant of the decay towards the mean
 
 } // namespace
 
@@ -22,7 +22,7 @@
 
 double load_reports::estimate(const reported_load &load, double now) const {
     return mean_in_flight_ +
-           (load.in_flight - mean_in_flight_) * std::exp((load.reported_at - now) / report_memory);
+           (load.in_flight - mean_in_flight_) * std::exp((load.reported_at - now) / report_decay_time);
 }
 
 } // namespace harrierpass
--- a/src/router/slow_start.cpp
+++ b/src/router/slow_start.cpp
@@ -6,7 +6,7 @@
 namespace harrierpass {
 namespace {
 
-constexpr double limit_lead = 1.4; // times the progress
+constexpr double limit_lead = 1.4; // share of the limit per share of the warm-up progress
 
 } // namespace
 
