--- a/src/router/concurrency_limits.cpp
+++ b/src/router/concurrency_limits.cpp
@@ -7,46 +7,50 @@
 namespace harrierpass {
 namespace {
 
-constexpr double initial_limit = 8;          // attempts of all proxies at an endpoint
-constexpr double minimum_limit = 2;          // attempts of all proxies; a limit never shuts an endpoint off
-constexpr double max_decrease = 0.7;         // factor on the limit
-constexpr double origin_latency_share = 0.6; // of the latency objective; no second attempt is left for
-constexpr double fleet_latency_share = 0.6;  // of the latency objective; some endpoints are always slower
-constexpr double fetch_latency_share = 1.5;  // of the latency objective; bound on a response with a fetch
-constexpr double baseline_factor = 2;        // times the baseline; what exceeds it is queueing
+constexpr double initial_limit = 8; // attempts of all proxies in flight at an endpoint
+// Attempts of all proxies in flight at an endpoint. A limit never excludes an endpoint completely.
+constexpr double minimum_limit = 2;
+constexpr double max_decrease = 0.7; // factor on the limit
+// Target for the origin as a share of the latency objective; no time is reserved for a second attempt.
+constexpr double origin_latency_share = 0.6;
+// Target for all cache endpoints as a share of the latency objective; some endpoints are always slower.
+constexpr double fleet_latency_share = 0.6;
+// Cap on the sample of a response with an origin fetch, as a share of the latency objective.
+constexpr double fetch_latency_share = 1.5;
+constexpr double baseline_factor = 2; // latency above this multiple of the baseline is queueing
 constexpr double fleet_sample_weight = 0.1;
 constexpr double endpoint_sample_weight = 0.2;
 constexpr double response_time_weight = 0.05;
 constexpr double fastest_response_weight = 0.1;
-constexpr double sample_memory = 4;       // s; older samples say little of the present load
-constexpr double origin_memory = 1;       // s; time constant in which a decrease is forgotten
-constexpr double origin_normal_load = 32; // requests in flight, of all proxies
+constexpr double sample_decay_time = 4;    // s; older samples indicate little about the present load
+constexpr double origin_recovery_time = 1; // s; time constant of the recovery from a decrease
+constexpr double origin_normal_load = 32;  // requests of all proxies in flight
 
 } // namespace
 
 adaptive_limit adaptive_limit::for_endpoint(double proxy_count) {
-    adaptive_limit made;
-    made.limit_ = std::max(1.0, initial_limit / proxy_count);
-    made.minimum_ = minimum_limit / proxy_count;
-    made.target_ = endpoint_latency_share;
-    made.sample_weight_ = endpoint_sample_weight;
-    made.mean_latency_share_ = endpoint_latency_share; // not known to be fast
-    return made;
+    adaptive_limit result;
+    result.limit_ = std::max(1.0, initial_limit / proxy_count);
+    result.minimum_ = minimum_limit / proxy_count;
+    result.target_ = endpoint_latency_share;
+    result.sample_weight_ = endpoint_sample_weight;
+    result.mean_latency_share_ = endpoint_latency_share; // a new endpoint is not assumed to be fast
+    return result;
 }
 
 adaptive_limit adaptive_limit::for_fleet(double proxy_count) {
-    adaptive_limit made;
-    made.limit_ = initial_limit;
-    made.minimum_ = minimum_limit / proxy_count;
-    made.target_ = fleet_latency_share;
-    made.sample_weight_ = fleet_sample_weight;
-    return made;
+    adaptive_limit result;
+    result.limit_ = initial_limit;
+    result.minimum_ = minimum_limit / proxy_count;
+    result.target_ = fleet_latency_share;
+    result.sample_weight_ = fleet_sample_weight;
+    return result;
 }
 
 void adaptive_limit::record(const latency_sample &sample, double now) {
     if (sample.started_at < last_decrease_at_)
         return;
-    const double weight = std::max(sample_weight_, 1 - std::exp((last_sample_at_ - now) / sample_memory));
+    const double weight = std::max(sample_weight_, 1 - std::exp((last_sample_at_ - now) / sample_decay_time));
     mean_latency_share_ += weight * (sample.latency_share - mean_latency_share_);
     last_sample_at_ = now;
     if (mean_latency_share_ <= std::max(target_, baseline_factor * baseline_latency_share_)) {
@@ -58,9 +62,9 @@
     last_decrease_at_ = now;
 }
 
-void adaptive_limit::update_baseline(bool at_rest) {
+void adaptive_limit::update_baseline(bool without_load) {
     baseline_latency_share_ =
-        at_rest ? mean_latency_share_ : std::min(baseline_latency_share_, mean_latency_share_);
+        without_load ? mean_latency_share_ : std::min(baseline_latency_share_, mean_latency_share_);
 }
 
 void adaptive_limit::set_proxy_count(double proxy_count) {
@@ -77,7 +81,7 @@
 }
 
 double recovered_origin_limit(const adaptive_limit &limit, double reported_in_flight, double now) {
-    return (1 - std::exp((limit.last_sample_at() - now) / origin_memory)) *
+    return (1 - std::exp((limit.last_sample_at() - now) / origin_recovery_time)) *
            std::min(1.0, origin_normal_load / std::max(1.0, reported_in_flight));
 }
 
@@ -96,12 +100,12 @@
     fleet_capacity_ = fleet_limit_.limit() * fleet_limit_.units();
 }
 
-void concurrency_limits::record_fleet_sample(latency_sample sample, zone_index zone, bool fetched,
+void concurrency_limits::record_fleet_sample(latency_sample sample, zone_index zone, bool includes_fetch,
                                              double now) {
     const double elapsed = now - sample.started_at;
     if (elapsed > 0)
         sample.latency_share *= 1 - network_latency(zone, elapsed) / elapsed;
-    if (fetched)
+    if (includes_fetch)
         sample.latency_share = std::min(sample.latency_share, fetch_latency_share);
     fleet_limit_.record(sample, now);
 }
@@ -110,7 +114,7 @@
     mean_response_time_ += response_time_weight * (elapsed - mean_response_time_);
 }
 
-// By so much the zone's fastest recent responses are slower than those of the local zone.
+// Difference between the fastest recent responses of the zone and of the local zone.
 double concurrency_limits::network_latency(zone_index zone, double elapsed) {
     if (zone == none || local_zone_ == none)
         return 0;
