--- a/src/router/endpoint_health.cpp
+++ b/src/router/endpoint_health.cpp
@@ -33,22 +33,23 @@
 using enum health_event;
 
 constexpr std::array<row, 8> transitions = {{
-    /// Failures or a silence beyond the limits of outlier_detection, or a removal without a drain.
+    /// Failures or silence beyond the limits of outlier_detection, or a removal without a drain.
     {healthy, failure_detected, ejected, eject},
-    /// The same limits hold during the warm-up.
+    /// The same limits apply during the warm-up.
     {warming_up, failure_detected, ejected, eject},
-    /// A health check failed, or an attempt that was started since the ejection: the backoff doubles.
+    /// A health check or an attempt started after the ejection failed: the backoff doubles.
     {ejected, failure_detected, ejected, back_off_health_check},
-    /// A response, without a failed health check since the ejection: the process and its cache are the old
-    /// ones.
+    /// The endpoint responded, and no health check failed since the ejection: the process was not restarted
+    /// and kept its cache.
     {ejected, answered, healthy, reinstate},
-    /// A response after a failed health check, or a later start time in the list: the cache is empty.
+    /// The endpoint responded after a failed health check, or the list has a later start time: the cache is
+    /// empty.
     {ejected, restarted, warming_up, begin_slow_start},
-    /// The list names a later start time, or an endpoint that is new.
+    /// The list has a later start time, or the endpoint is new.
     {healthy, restarted, warming_up, begin_slow_start},
-    /// Started again during its warm-up, which begins anew.
+    /// The endpoint restarted during its warm-up, so the warm-up starts over.
     {warming_up, restarted, warming_up, begin_slow_start},
-    /// Its warm-up progress has reached 1.
+    /// The warm-up progress has reached 1.
     {warming_up, warm_up_finished, healthy, reinstate},
 }};
 
--- a/src/router/endpoint_health.hpp
+++ b/src/router/endpoint_health.hpp
@@ -6,11 +6,11 @@
 
 namespace harrierpass {
 
-/// What was noticed about an endpoint. `restarted`: its process is a new one, with an empty cache.
+/// Events that change the health of an endpoint. `restarted`: its process is new and has an empty cache.
 enum class health_event : std::uint8_t { failure_detected, answered, restarted, warm_up_finished };
 
-/// Moves an endpoint's health on by an event; an event that its state has no transition for is ignored.
-/// `mean_response_time` is that of all endpoints, s.
+/// Applies an event to an endpoint's health; ignores an event without a transition from the present state.
+/// `mean_response_time` is the mean over all endpoints, s.
 void apply_health_event(endpoint_record &endpoint, health_event event, double now, double mean_response_time);
 
 } // namespace harrierpass
--- a/src/router/endpoint_refresh.cpp
+++ b/src/router/endpoint_refresh.cpp
@@ -8,8 +8,8 @@
 namespace {
 
 constexpr double initial_backoff = 0.5; // s
-constexpr double max_backoff = 8;       // s; waiting proxies must not load the discovery service
-constexpr double min_jitter = 0.5;      // of the backoff
+constexpr double max_backoff = 8;       // s; long enough not to load the discovery service
+constexpr double min_jitter = 0.5;      // share of the backoff
 
 } // namespace
 
--- a/src/router/endpoint_table.cpp
+++ b/src/router/endpoint_table.cpp
@@ -45,12 +45,12 @@
         fleet_in_flight_ += endpoint == origin_ ? 0 : records_[endpoint].in_flight;
 }
 
-void endpoint_table::count_in_flight(attempt_record &attempt, bool counts, double now) {
-    if (std::exchange(attempt.counts_in_flight, counts) == counts)
+void endpoint_table::count_in_flight(attempt_record &attempt, bool in_flight, double now) {
+    if (std::exchange(attempt.counts_in_flight, in_flight) == in_flight)
         return;
     auto &record = records_[attempt.endpoint];
     record.silence.advance(record.in_flight, now);
-    const std::uint32_t change = counts ? 1 : -1U; // unsigned arithmetic wraps
+    const std::uint32_t change = in_flight ? 1 : -1U; // unsigned arithmetic wraps
     record.in_flight += change;
     fleet_in_flight_ += attempt.endpoint == origin_ ? 0 : change;
 }
--- a/src/router/endpoint_table.hpp
+++ b/src/router/endpoint_table.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// The records of endpoints, their lifetimes, and the attempts in flight at them. Times are seconds.
+// The endpoint records, their lifetimes, and their attempts in flight. Times are in seconds.
 #pragma once
 
 #include "router/concurrency_limits.hpp"
@@ -15,62 +15,63 @@
 
 namespace harrierpass {
 
-/// Health of an endpoint; endpoint_health.cpp has the transitions.
+/// Health of an endpoint; endpoint_health.cpp defines the transitions.
 enum class endpoint_health : std::uint8_t { healthy, warming_up, ejected };
 
-/// An endpoint that is listed, or was. The classes among the members have their own invariants.
+/// An endpoint that is or was in the endpoint list.
 struct endpoint_record {
     std::string id;
-    endpoint_info info; ///< As last listed; its id is empty, as the caller owns the text.
+    endpoint_info info; ///< Latest entry in the list; its id is empty, as the caller owns the text.
     endpoint_health health = endpoint_health::healthy;
-    /// The list dropped it without a drain before; it may still be there and is only treated as ejected.
+    /// The list no longer has the endpoint, which was not drained. As it may still be running, it is kept as
+    /// ejected.
     bool removed_without_drain = false;
-    std::uint32_t virtual_nodes = 0;        ///< On the ring.
-    std::uint32_t active_virtual_nodes = 0; ///< Of them those in use; fewer while it warms up.
-    std::uint32_t in_flight = 0;            ///< Attempts of this proxy.
+    std::uint32_t virtual_nodes = 0;        ///< Virtual nodes on the ring.
+    std::uint32_t active_virtual_nodes = 0; ///< Virtual nodes in use; fewer while warming up.
+    std::uint32_t in_flight = 0;            ///< Attempts of this proxy in flight.
     adaptive_limit limit;
     outlier_state outlier;
     silence_tracker silence;
     double warm_up_started_at = 0;
-    double overloaded_until = 0; ///< It gets no attempts before, as it refused one.
-    origin_backoff backoff;      ///< In use for the origin only.
+    double overloaded_until = 0; ///< No attempts are sent before this time, as the endpoint rejected one.
+    origin_backoff backoff;      ///< Used for the origin only.
     reported_load load;
 };
 
-/// All endpoints of one router, which owns the table.
+/// The endpoints of one router, which owns the table.
 ///
-/// Invariants: fleet_in_flight() is the sum of in_flight over all endpoints but the origin since the last
-/// update_origin(); an index stands for one id until another id is placed there.
+/// Invariants: fleet_in_flight() is the sum of in_flight over all endpoints except the origin as of the last
+/// update_origin(); an index refers to one id until its record is overwritten for another id.
 class endpoint_table {
 public:
-    /// The kind of the origin's entry; none: there is no origin. update_origin() applies it.
+    /// Sets the kind of the origin's entry; none: there is no origin. Takes effect with update_origin().
     void set_origin_kind(kind_index origin_kind) { origin_kind_ = origin_kind; }
-    /// A record as a new endpoint has it. `limit`: its first limit.
+    /// Creates the record of a new endpoint. `limit`: its initial concurrency limit.
     static endpoint_record make_record(const endpoint_info &entry, adaptive_limit limit, double now);
-    /// The record of an index, which may be new.
+    /// Returns the record at an index; creates it if there is none yet.
     endpoint_record &at_or_new(endpoint_index endpoint);
-    /// Every endpoint counts as removed until it is listed again.
+    /// Marks every endpoint as removed, until it is listed again.
     void mark_all_removed();
-    /// Endpoints that are ready, without the origin.
+    /// Returns the ready endpoints except the origin.
     [[nodiscard]] std::vector<endpoint_index> ready_cache_endpoints() const;
-    /// Finds the origin and counts the attempts in flight anew, after entries or the origin's kind changed.
+    /// Determines the origin and recounts the attempts in flight, after entries or the origin's kind changed.
     void update_origin();
-    /// Counts an attempt as in flight, or no longer; nothing changes if it is counted so already.
-    void count_in_flight(attempt_record &attempt, bool counts, double now);
+    /// Includes an attempt in the count of attempts in flight, or excludes it. A repeated call has no effect.
+    void count_in_flight(attempt_record &attempt, bool in_flight, double now);
 
-    /// The endpoint is of the origin's kind.
+    /// True if the endpoint has the origin's kind.
     [[nodiscard]] bool is_origin(const endpoint_record &record) const {
         return origin_kind_ != none && record.info.kind == origin_kind_;
     }
-    [[nodiscard]] endpoint_index origin() const { return origin_; } ///< none: there is none.
-    /// Attempts in flight at all endpoints but the origin.
+    [[nodiscard]] endpoint_index origin() const { return origin_; } ///< none: no origin.
+    /// Attempts in flight at all endpoints except the origin.
     [[nodiscard]] std::uint32_t fleet_in_flight() const { return fleet_in_flight_; }
 
-    /// The record of an index that was listed before.
+    /// Returns the record at an index, which must have been listed before.
     endpoint_record &operator[](endpoint_index endpoint) { return records_[endpoint]; }
-    /// The same, for reading.
+    /// Read-only access to the record at an index.
     const endpoint_record &operator[](endpoint_index endpoint) const { return records_[endpoint]; }
-    /// The index after the last one.
+    /// Returns the index after the last record.
     [[nodiscard]] endpoint_index end_index() const { return records_.end_index(); }
 
 private:
