--- a/src/router/candidate_selection.cpp
+++ b/src/router/candidate_selection.cpp
@@ -90,7 +90,7 @@
             return {selection_result::selected, candidate};
         if (!admits(endpoint, request, now))
             continue;
-        const std::pair load(endpoint.in_flight + 1 > threshold, endpoints_.reported_load_of(endpoint, now));
+        const std::pair load(endpoint.in_flight + 1 > threshold, endpoints_.estimated_load(endpoint, now));
         if (!load.first && load.second <= spill_factor * endpoints_.mean_reported_load())
             return {selection_result::selected, candidate};
         if (best.endpoint == none || load < least_load) {
--- a/src/router/endpoint_fleet.cpp
+++ b/src/router/endpoint_fleet.cpp
@@ -10,8 +10,8 @@
 
 std::vector<double> sorted_latency_objectives(const router_settings &settings) {
     std::vector<double> objectives;
-    for (const auto &each : settings.request_classes)
-        objectives.push_back(each.latency_objective);
+    for (const auto &class_settings : settings.request_classes)
+        objectives.push_back(class_settings.latency_objective);
     std::ranges::sort(objectives);
     return objectives;
 }
@@ -21,7 +21,7 @@
     return objectives[(objectives.size() - 1) / 2];
 }
 
-// Half the response time that an endpoint should have.
+// Half the target response time of an endpoint.
 double initial_response_time(const router_settings &settings) {
     const double minimum_silence = median_latency_objective(settings) * minimum_silence_share;
     return minimum_silence / minimum_silence_share * endpoint_latency_share / 2;
@@ -50,7 +50,7 @@
         table_[endpoint].limit.set_proxy_count(proxy_count_);
 }
 
-// ---- Updates of the list
+// ---- Updates of the endpoint list
 
 std::vector<endpoint_index> endpoint_fleet::update(endpoint_update_kind kind,
                                                    std::span<const endpoint_info> entries, double now) {
@@ -61,14 +61,14 @@
         table_.mark_all_removed();
     for (const auto &entry : entries)
         update_entry(entry, is_snapshot(kind), now);
-    std::vector<endpoint_index> silent;
+    std::vector<endpoint_index> ejected_after_silence;
     for (const endpoint_index endpoint : ready_before)
-        if (table_[endpoint].info.state == endpoint_state::removed && keep_removed(endpoint, now))
-            silent.push_back(endpoint);
+        if (table_[endpoint].info.state == endpoint_state::removed && retain_removed(endpoint, now))
+            ejected_after_silence.push_back(endpoint);
     table_.update_origin();
     update_ring();
     refresh(now);
-    return silent;
+    return ejected_after_silence;
 }
 
 void endpoint_fleet::update_entry(const endpoint_info &entry, bool in_snapshot, double now) {
@@ -83,43 +83,44 @@
     endpoint.info.id = {};
     endpoint.removed_without_drain = endpoint.removed_without_drain && entry.state == endpoint_state::removed;
     endpoint.virtual_nodes = virtual_nodes_for_weight(constraints_.weights_are_dynamic ? 1 : entry.weight);
-    // What the first snapshot lists may have been there for long.
-    const bool started = restarted || (is_new && (!in_snapshot || !members_.empty()));
-    if (table_.is_origin(endpoint) || !started || !slow_start_.is_recent(entry.started_at, now))
+    // Endpoints in the first snapshot may have been running for a long time.
+    const bool has_started = restarted || (is_new && (!in_snapshot || !members_.empty()));
+    if (table_.is_origin(endpoint) || !has_started || !slow_start_.is_recent(entry.started_at, now))
         return;
-    apply(entry.endpoint, health_event::restarted, now);
+    apply_event(entry.endpoint, health_event::restarted, now);
     endpoint.warm_up_started_at = slow_start::begin_at(entry.started_at, now);
 }
 
-// An endpoint that the list drops without a drain may still be there: it stays, ejected, and warms up anew
-// once it responds to a health check. True: it was ejected after a silence.
-bool endpoint_fleet::keep_removed(endpoint_index endpoint, double now) {
+// An endpoint that was removed from the list without a drain may still be running. It remains a member as
+// ejected, and starts to warm up when it responds to a health check.
+bool endpoint_fleet::retain_removed(endpoint_index endpoint, double now) {
     auto &record = table_[endpoint];
     record.info.state = endpoint_state::ready;
     if (std::exchange(record.removed_without_drain, true))
         return false;
-    const bool silent =
-        record.health != endpoint_health::ejected && apply(endpoint, health_event::failure_detected, now);
+    const bool ejected_after_silence = record.health != endpoint_health::ejected &&
+                                       apply_event(endpoint, health_event::failure_detected, now);
     record.outlier.expect_restart();
-    return silent;
+    return ejected_after_silence;
 }
 
 void endpoint_fleet::update_ring() {
     members_.clear();
-    std::vector<ring_member> on_ring;
+    std::vector<ring_member> ring_members;
     for (endpoint_index endpoint{0}; endpoint < table_.end_index(); ++endpoint) {
         auto &record = table_[endpoint];
         if (record.info.state == endpoint_state::ready && !table_.is_origin(record))
             members_.push_back(endpoint);
         else
             record.virtual_nodes = 0;
-        on_ring.push_back({record.id, record.virtual_nodes});
+        ring_members.push_back({record.id, record.virtual_nodes});
     }
-    ring_.update(on_ring);
+    ring_.update(ring_members);
 }
 
 void endpoint_fleet::refresh(double now) {
-    // The list itself says which endpoints it dropped, so they are no sign of a shared cause.
+    // Endpoints that the list no longer has are ejected for that reason, which does not indicate a shared
+    // cause.
     std::size_t listed = 0, ejected = 0;
     for (const endpoint_index endpoint : members_) {
         const auto &record = table_[endpoint];
@@ -131,12 +132,13 @@
     double warm_endpoints = 0;
     for (const endpoint_index endpoint : members_) {
         auto &record = table_[endpoint];
-        const double warm = progress(record, now);
-        record.active_virtual_nodes = static_cast<std::uint32_t>(std::ceil(record.virtual_nodes * warm));
+        const double warm_up_progress = progress(record, now);
+        record.active_virtual_nodes =
+            static_cast<std::uint32_t>(std::ceil(record.virtual_nodes * warm_up_progress));
         if (is_avoided(record))
             continue;
         ++usable_count_;
-        warm_endpoints += warm;
+        warm_endpoints += warm_up_progress;
     }
     usable_count_ = std::max<std::uint32_t>(1, usable_count_);
     limits_.set_warm_endpoints(warm_endpoints);
@@ -144,8 +146,7 @@
 
 // ---- Health
 
-// True: the endpoint was ejected after a silence.
-bool endpoint_fleet::apply(endpoint_index endpoint, health_event event, double now) {
+bool endpoint_fleet::apply_event(endpoint_index endpoint, health_event event, double now) {
     auto &record = table_[endpoint];
     const bool was_ejected = record.health == endpoint_health::ejected;
     apply_health_event(record, event, now, limits_.mean_response_time());
@@ -155,24 +156,24 @@
 
 bool endpoint_fleet::update_health(const attempt_result &result, bool is_failure, double now) {
     auto &record = table_[result.endpoint];
-    bool silent = false;
+    bool ejected_after_silence = false;
     if (result.endpoint == table_.origin()) {
         record.outlier.clear_failure_rate(); // there is no other origin
         return false;
     }
-    if (record.health == endpoint_health::ejected && is_answer(result.result) &&
+    if (record.health == endpoint_health::ejected && is_endpoint_response(result.result) &&
         result.result != outcome::overloaded) {
         const bool restarted =
             record.outlier.has_failed_health_check() && result.started_at > record.outlier.ejected_at();
-        apply(result.endpoint, restarted ? health_event::restarted : health_event::answered, now);
+        apply_event(result.endpoint, restarted ? health_event::restarted : health_event::answered, now);
     } else if (record.outlier.exceeds_failure_limit() && is_failure &&
                result.started_at >= record.outlier.ejected_at()) {
-        silent = apply(result.endpoint, health_event::failure_detected, now);
+        ejected_after_silence = apply_event(result.endpoint, health_event::failure_detected, now);
     } else {
         return false;
     }
     refresh(now);
-    return silent;
+    return ejected_after_silence;
 }
 
 void endpoint_fleet::on_health_check_finished(endpoint_index endpoint, bool answered,
@@ -182,11 +183,11 @@
     if (record.health != endpoint_health::ejected)
         return;
     if (!answered)
-        apply(endpoint, health_event::failure_detected, now);
+        apply_event(endpoint, health_event::failure_detected, now);
     else
-        apply(endpoint,
-              record.outlier.has_failed_health_check() ? health_event::restarted : health_event::answered,
-              now);
+        apply_event(
+            endpoint,
+            record.outlier.has_failed_health_check() ? health_event::restarted : health_event::answered, now);
     refresh(now);
 }
 
@@ -194,13 +195,13 @@
     auto &record = table_[endpoint];
     record.silence.skip(pause, now);
     record.silence.advance(record.in_flight, now);
-    bool silent = false;
+    bool ejected_after_silence = false;
     if (record.health != endpoint_health::ejected &&
         outliers_.is_silent(record.silence, limits_.mean_response_time()))
-        silent = apply(endpoint, health_event::failure_detected, now);
+        ejected_after_silence = apply_event(endpoint, health_event::failure_detected, now);
     if (record.health == endpoint_health::warming_up && progress(record, now) >= 1)
-        apply(endpoint, health_event::warm_up_finished, now);
-    return silent;
+        apply_event(endpoint, health_event::warm_up_finished, now);
+    return ejected_after_silence;
 }
 
 bool endpoint_fleet::take_due_health_check(endpoint_index endpoint, double now) {
@@ -222,17 +223,18 @@
     const double latency_share = elapsed / result.latency_objective;
     record.silence.advance(record.in_flight, now);
     reports_.record(record.load, report, table_.is_origin(record), now);
-    if (is_answer(result.result))
+    if (is_endpoint_response(result.result))
         record.silence.reset();
     const bool is_failure = outliers_.record_attempt(record.outlier, result.result);
     const bool overloaded = result.result == outcome::overloaded;
-    if (result.counted && (result.result == outcome::completed || result.result == outcome::cache_miss)) {
+    if (result.was_in_flight &&
+        (result.result == outcome::completed || result.result == outcome::cache_miss)) {
         limits_.record_response_time(elapsed);
         record.backoff.on_response();
-        // Requests of all classes wait for each other at the origin, so the shortest objective counts there.
+        // Requests of all classes queue at the origin together, so the shortest objective applies to it.
         record_latency(record, result.started_at,
-                       is_origin ? elapsed / shortest_latency_objective_ : latency_share, result.fetched,
-                       now);
+                       is_origin ? elapsed / shortest_latency_objective_ : latency_share,
+                       result.includes_fetch, now);
     } else if (is_origin && (overloaded || result.result == outcome::connect_error)) {
         record.overloaded_until = record.backoff.on_refusal(result.started_at, now,
                                                             limits_.mean_response_time(), random.fraction());
@@ -250,33 +252,33 @@
     auto &record = table_[result.endpoint];
     record.silence.reset();
     record_latency(record, result.started_at, (now - result.started_at) / result.latency_objective,
-                   result.fetched, now);
+                   result.includes_fetch, now);
 }
 
 void endpoint_fleet::record_latency(endpoint_record &endpoint, double started_at, double latency_share,
-                                    bool fetched, double now) {
+                                    bool includes_fetch, double now) {
     const bool at_limit = endpoint.in_flight + 1 > endpoint.limit.limit();
     const latency_sample sample = {started_at, latency_share, at_limit, endpoint.in_flight};
     if (table_.is_origin(endpoint))
         return record_origin_latency(endpoint, sample, now);
     const bool fleet_at_limit = table_.fleet_in_flight() + 1 > capacity();
-    // A response that was fetched from the origin says little of the endpoint itself.
-    if (!fetched)
+    // The latency of a response with an origin fetch indicates little about the endpoint itself.
+    if (!includes_fetch)
         endpoint.limit.record({started_at, latency_share, at_limit || fleet_at_limit, endpoint.in_flight},
                               now);
-    // A timeout after a silence says nothing of the other endpoints.
+    // A timeout after a silence indicates nothing about the other endpoints.
     if (endpoint.health == endpoint_health::healthy && endpoint.silence.attempt_time() <= 0)
         limits_.record_fleet_sample({started_at, latency_share, fleet_at_limit, table_.fleet_in_flight()},
-                                    endpoint.info.zone, fetched, now);
+                                    endpoint.info.zone, includes_fetch, now);
 }
 
-// An origin that is slow at its minimum limit, without refusals and without much load from other proxies, is
-// slow of itself; its limit is not lowered for that.
+// If the origin is slow at its minimum limit, outside its backoff and without much load from other proxies,
+// its latency is not caused by load. The baseline then keeps the limit from being lowered.
 void endpoint_fleet::record_origin_latency(endpoint_record &origin, const latency_sample &sample,
                                            double now) {
-    const bool at_rest = origin.limit.is_at_minimum() && now >= origin.overloaded_until &&
-                         !origin_reports_overload(origin.load.in_flight);
-    origin.limit.update_baseline(at_rest);
+    const bool without_load = origin.limit.is_at_minimum() && now >= origin.overloaded_until &&
+                              !origin_reports_overload(origin.load.in_flight);
+    origin.limit.update_baseline(without_load);
     origin.limit.record(sample, now);
 }
 
@@ -295,7 +297,7 @@
     return endpoint.in_flight + admission_draw < limit && now >= endpoint.overloaded_until;
 }
 
-double endpoint_fleet::reported_load_of(const endpoint_record &endpoint, double now) const {
+double endpoint_fleet::estimated_load(const endpoint_record &endpoint, double now) const {
     return reports_.estimate(endpoint.load, now) / progress(endpoint, now);
 }
 
--- a/src/router/endpoint_fleet.hpp
+++ b/src/router/endpoint_fleet.hpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-// All that one router knows about its endpoints: it applies updates of the endpoint list, results of attempts
-// and of health checks to the modules below it, and answers which endpoints can take a request.
+// State of all endpoints of one router. Applies updates of the endpoint list and the results of attempts and
+// health checks to the modules below, and determines which endpoints can accept a request.
 //
-// It knows nothing of requests: where an ejection concerns the attempts of requests, it says so in its
-// result.
+// This module does not depend on requests: if attempts should be canceled because of an ejection, the result
+// of the call indicates it.
 #pragma once
 
 #include "router/endpoint_health.hpp"
@@ -17,102 +17,105 @@
 
 namespace harrierpass {
 
-/// How an attempt ended, as far as it concerns its endpoint.
+/// Result of an attempt, as far as it concerns its endpoint.
 struct attempt_result {
     endpoint_index endpoint;
-    double started_at;        ///< s
-    double latency_objective; ///< Of the request's class, s.
+    double started_at;        ///< Start of the attempt, s.
+    double latency_objective; ///< Latency objective of the request's class, s.
     outcome result;
-    bool counted; ///< It was counted in flight, so its time is the endpoint's, not the client's.
-    bool fetched; ///< The endpoint had to fetch the response from the origin.
+    /// The attempt was counted in flight until its end, so its duration depends on the endpoint, not on the
+    /// client.
+    bool was_in_flight;
+    bool includes_fetch; ///< The endpoint had to fetch the response from the origin.
 };
 
 /// The endpoints of one router, which owns them.
 ///
-/// Invariants: members() are the endpoints on the ring, in order of their index; capacity() and the nodes in
-/// use are those of the last refresh().
+/// Invariants: members() are the endpoints on the ring, in the order of their indices; capacity() and the
+/// active virtual nodes are as of the last refresh().
 class endpoint_fleet {
 public:
-    /// No endpoint is known yet.
+    /// Creates a fleet without endpoints.
     explicit endpoint_fleet(const router_settings &settings);
-    /// New settings; what was learned of the endpoints stays.
+    /// Applies new settings and keeps the state of the endpoints.
     void update_settings(const router_settings &settings);
 
-    /// Applies an update of the list; returns the endpoints that it ejected after a silence, whose attempts
+    /// Applies an update of the list. Returns the endpoints that it ejected after a silence; their attempts
     /// should be canceled.
     [[nodiscard]] std::vector<endpoint_index> update(endpoint_update_kind kind,
                                                      std::span<const endpoint_info> entries, double now);
 
-    /// Records the end of an attempt, but not yet that it is no longer in flight. True: it was a failure of
-    /// the endpoint.
+    /// Records the result of an attempt that still counts as in flight. True if it was a failure of the
+    /// endpoint.
     bool record_result(const attempt_result &result, const load_report &report, double now,
                        random_source &random);
-    /// Records the start of a response whose attempt is no longer counted in flight.
+    /// Records the start of a response. The attempt no longer counts as in flight.
     void record_response_start(const attempt_result &result, double now);
-    /// Changes the endpoint's health by the result; true: it was ejected after a silence.
+    /// Updates the endpoint's health after an attempt; true if it was ejected after a silence.
     [[nodiscard]] bool update_health(const attempt_result &result, bool is_failure, double now);
-    /// A health check finished.
+    /// Updates the endpoint's health and load after a health check.
     void on_health_check_finished(endpoint_index endpoint, bool answered, const load_report &report,
                                   double now);
 
-    /// Periodic check of one member: its silence, ignoring a pause of this proxy, and the end of its warm-up.
-    /// True: it was ejected after a silence.
+    /// Periodic check of one member: ejects it after too long a silence, not counting a pause of this proxy,
+    /// and finishes its warm-up. True if it was ejected after a silence.
     [[nodiscard]] bool check(endpoint_index endpoint, double pause, double now);
-    /// A health check of the endpoint is due, and counts as sent.
+    /// True if a health check of the endpoint is due, which then counts as sent.
     [[nodiscard]] bool take_due_health_check(endpoint_index endpoint, double now);
-    /// A request is about to be sent to an ejected endpoint in place of a health check.
+    /// Records that a request is sent to an ejected endpoint in place of a health check.
     void on_request_as_health_check(endpoint_index endpoint, double now) {
         table_[endpoint].outlier.schedule_health_check(now);
     }
-    /// Computes what depends on all endpoints: mass ejection, nodes in use, capacity.
+    /// Updates the state that depends on all endpoints: mass ejection, active virtual nodes, capacity.
     void refresh(double now);
 
-    /// Counts an attempt as in flight, or no longer.
-    void count_in_flight(attempt_record &attempt, bool counts, double now) {
-        table_.count_in_flight(attempt, counts, now);
+    /// Includes an attempt in the count of attempts in flight, or excludes it.
+    void count_in_flight(attempt_record &attempt, bool in_flight, double now) {
+        table_.count_in_flight(attempt, in_flight, now);
     }
 
-    /// The endpoint is ejected, and mass ejection does not override that.
+    /// True if the endpoint is ejected and mass ejection does not override that.
     [[nodiscard]] bool is_avoided(const endpoint_record &endpoint) const;
-    /// The endpoint's limit admits a request with this draw.
+    /// True if the endpoint's limit admits a request with this admission draw (request_record).
     [[nodiscard]] bool has_capacity(const endpoint_record &endpoint, double admission_draw, double now) const;
-    /// Requests in flight at the endpoint by its reports, in proportion to its warm-up progress.
-    [[nodiscard]] double reported_load_of(const endpoint_record &endpoint, double now) const;
-    /// Mean of the requests in flight that endpoints report.
+    /// Requests in flight at the endpoint as estimated from its reports, divided by its warm-up progress.
+    [[nodiscard]] double estimated_load(const endpoint_record &endpoint, double now) const;
+    /// Mean of the requests in flight that the endpoints report.
     [[nodiscard]] double mean_reported_load() const { return reports_.mean(); }
-    /// Errors are the requests' own fault at present.
+    /// True if the requests cause the present errors, not the endpoint.
     [[nodiscard]] bool errors_are_common(endpoint_index endpoint) const {
         return outliers_.errors_are_common(table_[endpoint].outlier);
     }
 
-    /// The records of all endpoints.
+    /// Records of all endpoints.
     [[nodiscard]] const endpoint_table &table() const { return table_; }
-    /// The ring of the members.
+    /// Hash ring of the members.
     [[nodiscard]] const hash_ring &ring() const { return ring_; }
-    /// Ready cache endpoints, by index.
+    /// Ready cache endpoints, in the order of their indices.
     [[nodiscard]] std::span<const endpoint_index> members() const { return members_; }
-    /// Members that are not avoided, at least 1.
+    /// Number of members that are not avoided, at least 1.
     [[nodiscard]] std::uint32_t usable_count() const { return usable_count_; }
-    /// Attempts that all cache endpoints together should have in flight at most.
+    /// Concurrency limit of all cache endpoints together, attempts.
     [[nodiscard]] double capacity() const { return limits_.fleet_capacity(); }
 
 private:
-    /// Takes over settings in all modules below.
+    /// Passes settings to all modules below.
     void configure(const router_settings &settings);
-    /// Applies one entry of the list; new and restarted endpoints warm up.
+    /// Applies one entry of the list; new and restarted endpoints start to warm up.
     void update_entry(const endpoint_info &entry, bool in_snapshot, double now);
-    /// Keeps an endpoint that was removed without a drain, as ejected; true: after a silence.
-    bool keep_removed(endpoint_index endpoint, double now);
-    /// Brings members and ring in line with the table.
+    /// Keeps an endpoint that was removed without a drain, as ejected; true if it was ejected after a
+    /// silence.
+    bool retain_removed(endpoint_index endpoint, double now);
+    /// Updates the members and the ring from the table.
     void update_ring();
-    /// Applies a health event; true: the endpoint was ejected after a silence.
-    bool apply(endpoint_index endpoint, health_event event, double now);
-    /// Warm-up progress, 1 for an endpoint that does not warm up.
+    /// Applies a health event; true if it ejected the endpoint after a silence.
+    bool apply_event(endpoint_index endpoint, health_event event, double now);
+    /// Warm-up progress; 1 for an endpoint that is not warming up.
     double progress(const endpoint_record &endpoint, double now) const;
-    /// Records a latency sample, as a share of the objective, for the limits.
-    void record_latency(endpoint_record &endpoint, double started_at, double latency_share, bool fetched,
-                        double now);
-    /// The same for the origin, whose limit has a baseline.
+    /// Updates the limits with a latency, given as a share of the latency objective.
+    void record_latency(endpoint_record &endpoint, double started_at, double latency_share,
+                        bool includes_fetch, double now);
+    /// Updates the origin's limit and its baseline with a latency sample.
     void record_origin_latency(endpoint_record &origin, const latency_sample &sample, double now);
 
     deployment_constraints constraints_;
--- a/src/router/outlier_detection.cpp
+++ b/src/router/outlier_detection.cpp
@@ -6,14 +6,17 @@
 namespace harrierpass {
 namespace {
 
-constexpr double failure_weight = 0.21; // of an attempt in the failure rate; three in a row eject
-constexpr double error_weight = 0.2;    // of a response in the error rate, of an error in the failure rate
-constexpr double fleet_error_weight = 0.03;      // of a response in the error rate of all endpoints
-constexpr double failure_limit = 0.5;            // failure rate above which an endpoint is ejected
-constexpr double common_error_rate = 0.2;        // of all responses
-constexpr double error_rate_lead = 0.4;          // above the rate of all that makes errors the endpoint's own
-constexpr double silence_limit = 12;             // mean response times, summed over the attempts held
-constexpr double cancel_silence_limit = 3;       // mean response times, likewise
+// Weight of an attempt in the failure rate; three failures in a row eject an endpoint.
+constexpr double failure_weight = 0.21;
+// Weight of a response in the error rate and of an error in the failure rate.
+constexpr double error_weight = 0.2;
+constexpr double fleet_error_weight = 0.03; // weight of a response in the error rate of all endpoints
+constexpr double failure_limit = 0.5;       // failure rate above which an endpoint is ejected
+constexpr double common_error_rate = 0.2;   // error rate of all endpoints above which errors are common
+// Excess over the error rate of all endpoints from which errors are attributed to the endpoint.
+constexpr double error_rate_excess = 0.4;
+constexpr double silence_limit = 12;             // mean response times, summed over the attempts in flight
+constexpr double cancel_silence_limit = 3;       // mean response times, summed over the attempts in flight
 constexpr double min_health_check_backoff = 0.5; // s
 constexpr double max_health_check_backoff = 4;   // s
 constexpr double relapse_time = 8;               // s after an ejection
@@ -42,13 +45,13 @@
     failure_rate_ += -failure_weight * failure_rate_;
 }
 
-void outlier_state::eject(bool was_silent, double now) {
-    const bool relapsed = !was_silent && !connection_failed_ && now < ejected_at_ + relapse_time;
-    constexpr double start = min_health_check_backoff / 2; // doubled below
-    health_check_backoff_ = relapsed ? std::max(health_check_backoff_, start) : start;
+void outlier_state::eject(bool after_silence, double now) {
+    const bool relapsed = !after_silence && !connection_failed_ && now < ejected_at_ + relapse_time;
+    constexpr double initial_backoff = min_health_check_backoff / 2; // back_off_health_check() doubles it
+    health_check_backoff_ = relapsed ? std::max(health_check_backoff_, initial_backoff) : initial_backoff;
     ejected_at_ = now;
     back_off_health_check(now);
-    health_check_failed_ = false; // connections break at healthy endpoints, too
+    health_check_failed_ = false; // connections to healthy endpoints fail, too
 }
 
 void outlier_state::back_off_health_check(double now) {
@@ -75,7 +78,7 @@
     const bool connection_failed = result == outcome::reset || result == outcome::connect_error;
     if (connection_failed)
         endpoint.record_connection_failure();
-    if (is_answer(result) && result != outcome::overloaded) {
+    if (is_endpoint_response(result) && result != outcome::overloaded) {
         endpoint.record_response(is_error);
         error_rate_ += fleet_error_weight * ((is_error ? 1.0 : 0.0) - error_rate_);
     }
@@ -87,13 +90,13 @@
         endpoint.record_failure(error_weight);
         return true;
     }
-    if (is_answer(result))
+    if (is_endpoint_response(result))
         endpoint.record_success();
     return false;
 }
 
 bool outlier_detection::errors_are_common(const outlier_state &endpoint) const {
-    return error_rate_ > common_error_rate && endpoint.error_rate() < error_rate_ + error_rate_lead;
+    return error_rate_ > common_error_rate && endpoint.error_rate() < error_rate_ + error_rate_excess;
 }
 
 bool outlier_detection::is_silent(const silence_tracker &silence, double mean_response_time) const {
