--- a/src/router/concurrency_limits.hpp
+++ b/src/router/concurrency_limits.hpp
@@ -77,7 +77,8 @@
 };
 
 /// Attempts that the origin may have in flight even if its limit is lower. As there is no other origin, this
-/// number recovers soon after a decrease; it is lower if the origin reported many requests in flight.
+/// number recovers soon after a decrease; it is lower if the origin reported many requests in flight, of all
+/// proxies.
 [[nodiscard]] double recovered_origin_limit(const adaptive_limit &limit, double reported_in_flight,
                                             double now);
 
