--- a/src/router/endpoint_fleet.cpp
+++ b/src/router/endpoint_fleet.cpp
@@ -72,7 +72,7 @@
 }
 
 void endpoint_fleet::update_entry(const endpoint_info &entry, bool in_snapshot, double now) {
-    auto &endpoint = table_.at_or_new(entry.endpoint);
+    auto &endpoint = table_.find_or_create(entry.endpoint);
     const bool is_new = endpoint.id != entry.id;
     if (is_new) {
         endpoint = endpoint_table::make_record(entry, adaptive_limit::for_endpoint(proxy_count_), now);
@@ -88,7 +88,7 @@
     if (table_.is_origin(endpoint) || !has_started || !slow_start_.is_recent(entry.started_at, now))
         return;
     apply_event(entry.endpoint, health_event::restarted, now);
-    endpoint.warm_up_started_at = slow_start::begin_at(entry.started_at, now);
+    endpoint.warm_up_started_at = slow_start::warm_up_start(entry.started_at, now);
 }
 
 // An endpoint that was removed from the list without a drain may still be running. It remains a member as
@@ -151,7 +151,7 @@
     const bool was_ejected = record.health == endpoint_health::ejected;
     apply_health_event(record, event, now, limits_.mean_response_time());
     return !was_ejected && record.health == endpoint_health::ejected &&
-           outlier_detection::was_silent(record.silence, limits_.mean_response_time());
+           outlier_detection::should_cancel_attempts(record.silence, limits_.mean_response_time());
 }
 
 bool endpoint_fleet::update_health(const attempt_result &result, bool is_failure, double now) {
@@ -165,7 +165,7 @@
         result.result != outcome::overloaded) {
         const bool restarted =
             record.outlier.has_failed_health_check() && result.started_at > record.outlier.ejected_at();
-        apply_event(result.endpoint, restarted ? health_event::restarted : health_event::answered, now);
+        apply_event(result.endpoint, restarted ? health_event::restarted : health_event::responded, now);
     } else if (record.outlier.exceeds_failure_limit() && is_failure &&
                result.started_at >= record.outlier.ejected_at()) {
         ejected_after_silence = apply_event(result.endpoint, health_event::failure_detected, now);
@@ -176,24 +176,25 @@
     return ejected_after_silence;
 }
 
-void endpoint_fleet::on_health_check_finished(endpoint_index endpoint, bool answered,
+void endpoint_fleet::on_health_check_finished(endpoint_index endpoint, bool responded,
                                               const load_report &report, double now) {
     auto &record = table_[endpoint];
     reports_.record(record.load, report, table_.is_origin(record), now);
     if (record.health != endpoint_health::ejected)
         return;
-    if (!answered)
+    if (!responded)
         apply_event(endpoint, health_event::failure_detected, now);
     else
-        apply_event(
-            endpoint,
-            record.outlier.has_failed_health_check() ? health_event::restarted : health_event::answered, now);
+        apply_event(endpoint,
+                    record.outlier.has_failed_health_check() ? health_event::restarted
+                                                             : health_event::responded,
+                    now);
     refresh(now);
 }
 
-bool endpoint_fleet::check(endpoint_index endpoint, double pause, double now) {
+bool endpoint_fleet::check_member(endpoint_index endpoint, double pause, double now) {
     auto &record = table_[endpoint];
-    record.silence.skip(pause, now);
+    record.silence.skip_pause(pause, now);
     record.silence.advance(record.in_flight, now);
     bool ejected_after_silence = false;
     if (record.health != endpoint_health::ejected &&
@@ -204,7 +205,7 @@
     return ejected_after_silence;
 }
 
-bool endpoint_fleet::take_due_health_check(endpoint_index endpoint, double now) {
+bool endpoint_fleet::claim_due_health_check(endpoint_index endpoint, double now) {
     auto &record = table_[endpoint];
     if (record.health != endpoint_health::ejected || !constraints_.may_check_health ||
         !record.outlier.is_health_check_due(now))
--- a/src/router/endpoint_fleet.hpp
+++ b/src/router/endpoint_fleet.hpp
@@ -54,14 +54,14 @@
     /// Updates the endpoint's health after an attempt; true if it was ejected after a silence.
     [[nodiscard]] bool update_health(const attempt_result &result, bool is_failure, double now);
     /// Updates the endpoint's health and load after a health check.
-    void on_health_check_finished(endpoint_index endpoint, bool answered, const load_report &report,
+    void on_health_check_finished(endpoint_index endpoint, bool responded, const load_report &report,
                                   double now);
 
     /// Periodic check of one member: ejects it after too long a silence, not counting a pause of this proxy,
     /// and finishes its warm-up. True if it was ejected after a silence.
-    [[nodiscard]] bool check(endpoint_index endpoint, double pause, double now);
+    [[nodiscard]] bool check_member(endpoint_index endpoint, double pause, double now);
     /// True if a health check of the endpoint is due, which then counts as sent.
-    [[nodiscard]] bool take_due_health_check(endpoint_index endpoint, double now);
+    [[nodiscard]] bool claim_due_health_check(endpoint_index endpoint, double now);
     /// Records that a request is sent to an ejected endpoint in place of a health check.
     void on_request_as_health_check(endpoint_index endpoint, double now) {
         table_[endpoint].outlier.schedule_health_check(now);
--- a/src/router/endpoint_health.cpp
+++ b/src/router/endpoint_health.cpp
@@ -10,7 +10,8 @@
 namespace {
 
 void eject(endpoint_record &endpoint, double now, double mean_response_time) {
-    endpoint.outlier.eject(outlier_detection::was_silent(endpoint.silence, mean_response_time), now);
+    endpoint.outlier.eject(outlier_detection::should_cancel_attempts(endpoint.silence, mean_response_time),
+                           now);
 }
 
 void back_off_health_check(endpoint_record &endpoint, double now, double /*mean_response_time*/) {
@@ -41,7 +42,7 @@
     {ejected, failure_detected, ejected, back_off_health_check},
     /// The endpoint responded, and no health check failed since the ejection: the process was not restarted
     /// and kept its cache.
-    {ejected, answered, healthy, reinstate},
+    {ejected, responded, healthy, reinstate},
     /// The endpoint responded after a failed health check, or the list has a later start time: the cache is
     /// empty.
     {ejected, restarted, warming_up, begin_slow_start},
--- a/src/router/endpoint_health.hpp
+++ b/src/router/endpoint_health.hpp
@@ -7,7 +7,7 @@
 namespace harrierpass {
 
 /// Events that change the health of an endpoint. `restarted`: its process is new and has an empty cache.
-enum class health_event : std::uint8_t { failure_detected, answered, restarted, warm_up_finished };
+enum class health_event : std::uint8_t { failure_detected, responded, restarted, warm_up_finished };
 
 /// Applies an event to an endpoint's health; ignores an event without a transition from the present state.
 /// `mean_response_time` is the mean over all endpoints, s.
--- a/src/router/endpoint_table.cpp
+++ b/src/router/endpoint_table.cpp
@@ -13,7 +13,7 @@
     return record;
 }
 
-endpoint_record &endpoint_table::at_or_new(endpoint_index endpoint) {
+endpoint_record &endpoint_table::find_or_create(endpoint_index endpoint) {
     records_.grow_to(endpoint);
     return records_[endpoint];
 }
--- a/src/router/endpoint_table.hpp
+++ b/src/router/endpoint_table.hpp
@@ -49,7 +49,7 @@
     /// Creates the record of a new endpoint. `limit`: its initial concurrency limit.
     static endpoint_record make_record(const endpoint_info &entry, adaptive_limit limit, double now);
     /// Returns the record at an index; creates it if there is none yet.
-    endpoint_record &at_or_new(endpoint_index endpoint);
+    endpoint_record &find_or_create(endpoint_index endpoint);
     /// Marks every endpoint as removed, until it is listed again.
     void mark_all_removed();
     /// Returns the ready endpoints except the origin.
--- a/src/router/outlier_detection.cpp
+++ b/src/router/outlier_detection.cpp
@@ -25,11 +25,11 @@
 
 void silence_tracker::advance(std::uint32_t in_flight, double now) {
     attempt_time_ += in_flight * (now - updated_at_);
-    time_ += in_flight > 0 ? now - updated_at_ : 0;
+    duration_ += in_flight > 0 ? now - updated_at_ : 0;
     updated_at_ = now;
 }
 
-void silence_tracker::skip(double pause, double now) {
+void silence_tracker::skip_pause(double pause, double now) {
     updated_at_ = std::min(now, updated_at_ + pause);
 }
 
@@ -100,10 +100,11 @@
 }
 
 bool outlier_detection::is_silent(const silence_tracker &silence, double mean_response_time) const {
-    return silence.attempt_time() > silence_limit * mean_response_time && silence.time() > minimum_silence_;
+    return silence.attempt_time() > silence_limit * mean_response_time &&
+           silence.duration() > minimum_silence_;
 }
 
-bool outlier_detection::was_silent(const silence_tracker &silence, double mean_response_time) {
+bool outlier_detection::should_cancel_attempts(const silence_tracker &silence, double mean_response_time) {
     return silence.attempt_time() > cancel_silence_limit * mean_response_time;
 }
 
--- a/src/router/outlier_detection.hpp
+++ b/src/router/outlier_detection.hpp
@@ -29,17 +29,17 @@
     /// Adds the time since the last call, during which this number of attempts was in flight.
     void advance(std::uint32_t in_flight, double now);
     /// Clears the silence after a response.
-    void reset() { attempt_time_ = time_ = 0; }
+    void reset() { attempt_time_ = duration_ = 0; }
     /// Excludes a pause of this proxy, during which it could not receive a response.
-    void skip(double pause, double now);
+    void skip_pause(double pause, double now);
 
     [[nodiscard]] double attempt_time() const {
         return attempt_time_;
-    }                                                   ///< Silence summed over the attempts in flight, s.
-    [[nodiscard]] double time() const { return time_; } ///< Duration of the silence, s.
+    } ///< Silence summed over the attempts in flight, s.
+    [[nodiscard]] double duration() const { return duration_; } ///< Duration of the silence, s.
 
 private:
-    double attempt_time_ = 0, time_ = 0;
+    double attempt_time_ = 0, duration_ = 0;
     double updated_at_ = 0;
 };
 
@@ -102,7 +102,8 @@
     [[nodiscard]] bool is_silent(const silence_tracker &silence, double mean_response_time) const;
 
     /// True if the attempts at an endpoint that is ejected should be canceled because of its silence.
-    [[nodiscard]] static bool was_silent(const silence_tracker &silence, double mean_response_time);
+    [[nodiscard]] static bool should_cancel_attempts(const silence_tracker &silence,
+                                                     double mean_response_time);
 
     /// True if so many listed endpoints are ejected that ejection is ignored.
     [[nodiscard]] static bool is_mass_ejection(std::size_t ejected, std::size_t listed);
--- a/src/router/request_router.cpp
+++ b/src/router/request_router.cpp
@@ -214,9 +214,9 @@
     const double since_last = now_ - std::exchange(last_check_at_, now_);
     const double pause = std::max(0.0, since_last - 2 * timer_period);
     for (const endpoint_index endpoint : endpoints_.members()) {
-        if (endpoints_.check(endpoint, pause, now_))
+        if (endpoints_.check_member(endpoint, pause, now_))
             cancel_attempts_at(endpoint);
-        if (endpoints_.take_due_health_check(endpoint, now_))
+        if (endpoints_.claim_due_health_check(endpoint, now_))
             actions.push_back({.kind = action_kind::check_health, .endpoint = endpoint});
     }
     endpoints_.refresh(now_);
--- a/src/router/slow_start.cpp
+++ b/src/router/slow_start.cpp
@@ -22,7 +22,7 @@
     return std::min(1.0, limit_lead * progress);
 }
 
-double slow_start::begin_at(double started_at, double now) {
+double slow_start::warm_up_start(double started_at, double now) {
     return started_at > 0 ? std::min(started_at, now) : now;
 }
 
--- a/src/router/slow_start.hpp
+++ b/src/router/slow_start.hpp
@@ -32,7 +32,7 @@
     }
 
     /// Start time of the warm-up of a process. `started_at` 0: unknown, so the warm-up starts now.
-    [[nodiscard]] static double begin_at(double started_at, double now);
+    [[nodiscard]] static double warm_up_start(double started_at, double now);
 
 private:
     slow_start_settings settings_;
--- a/src/router/types.hpp
+++ b/src/router/types.hpp
@@ -88,7 +88,7 @@
     index ready_endpoints = 0, selected_endpoints = 0;        ///< Ready endpoints; ready endpoints in use.
     index level = 0;                                          ///< The subset is one of 2^level parts.
     std::uint64_t endpoints_added = 0, endpoints_removed = 0; ///< Endpoints that entered and left the subset.
-    /// Number of times the subset grew because usable endpoints or capacity were lacking.
+    /// Number of times the subset grew because too few endpoints were usable, and for lack of capacity.
     std::uint64_t widened_for_availability = 0, widened_for_capacity = 0;
 };
 
--- a/tests/router/endpoint_health_test.cpp
+++ b/tests/router/endpoint_health_test.cpp
@@ -7,7 +7,7 @@
 namespace harrierpass {
 namespace {
 
-endpoint_health after(endpoint_health state, health_event event) {
+endpoint_health health_after(endpoint_health state, health_event event) {
     endpoint_record endpoint;
     endpoint.health = state;
     apply_health_event(endpoint, event, 10, 0.1);
@@ -16,21 +16,21 @@
 
 } // namespace
 
-TEST_CASE("endpoint health: every transition") {
+TEST_CASE("endpoint health: each event leads to the expected state") {
     using enum endpoint_health;
     for (const auto state : {healthy, warming_up, ejected}) {
-        CHECK(after(state, health_event::failure_detected) == ejected);
-        CHECK(after(state, health_event::restarted) == warming_up);
+        CHECK(health_after(state, health_event::failure_detected) == ejected);
+        CHECK(health_after(state, health_event::restarted) == warming_up);
     }
-    CHECK(after(healthy, health_event::answered) == healthy);
-    CHECK(after(warming_up, health_event::answered) == warming_up);
-    CHECK(after(ejected, health_event::answered) == healthy);
-    CHECK(after(healthy, health_event::warm_up_finished) == healthy);
-    CHECK(after(warming_up, health_event::warm_up_finished) == healthy);
-    CHECK(after(ejected, health_event::warm_up_finished) == ejected);
+    CHECK(health_after(healthy, health_event::responded) == healthy);
+    CHECK(health_after(warming_up, health_event::responded) == warming_up);
+    CHECK(health_after(ejected, health_event::responded) == healthy);
+    CHECK(health_after(healthy, health_event::warm_up_finished) == healthy);
+    CHECK(health_after(warming_up, health_event::warm_up_finished) == healthy);
+    CHECK(health_after(ejected, health_event::warm_up_finished) == ejected);
 }
 
-TEST_CASE("endpoint health: an ejection schedules a health check, a failed one backs off") {
+TEST_CASE("endpoint health: an ejection schedules a health check, a failed check doubles the backoff") {
     endpoint_record endpoint;
     apply_health_event(endpoint, health_event::failure_detected, 10, 0.1);
     CHECK(!endpoint.outlier.is_health_check_due(10.4));
@@ -40,7 +40,7 @@
     CHECK(endpoint.outlier.is_health_check_due(12));
 }
 
-TEST_CASE("endpoint health: a slow start begins with a small limit and no failures") {
+TEST_CASE("endpoint health: a slow start begins with a limit of one attempt and without failures") {
     endpoint_record endpoint;
     endpoint.limit = adaptive_limit::for_endpoint(1);
     endpoint.silence.advance(3, 9);
--- a/tests/router/retry_policy_test.cpp
+++ b/tests/router/retry_policy_test.cpp
@@ -23,7 +23,7 @@
 // Endpoints 0 and 1 in one cell, 2 in another one of their zone, 3 in another zone.
 endpoint_table endpoints() {
     endpoint_table made;
-    made.at_or_new(3_endpoint);
+    made.find_or_create(3_endpoint);
     for (endpoint_index endpoint{0}; endpoint < 4_endpoint; ++endpoint) {
         made[endpoint].info.zone = endpoint == 3_endpoint ? 1_zone : 0_zone;
         made[endpoint].info.cell = endpoint < 2_endpoint ? 0_cell : cell_index(endpoint.value());
