--- a/tests/router/endpoint_refresh_test.cpp
+++ b/tests/router/endpoint_refresh_test.cpp
@@ -6,13 +6,13 @@
 
 namespace harrierpass {
 
-TEST_CASE("endpoint refresh: the first poll comes within the initial backoff") {
+TEST_CASE("endpoint refresh: the first poll is due within the initial backoff") {
     CHECK(endpoint_refresh(10, 0).is_due(10));
     CHECK(!endpoint_refresh(10, 0.5).is_due(10.2));
     CHECK(endpoint_refresh(10, 0.5).is_due(10.25));
 }
 
-TEST_CASE("endpoint refresh: an unanswered poll is repeated, within the interval allowed") {
+TEST_CASE("endpoint refresh: a poll without a response is repeated within the maximum interval") {
     endpoint_refresh refresh(0, 0);
     refresh.on_poll_sent(0, 3600);
     CHECK(!refresh.is_due(7.9));
@@ -22,7 +22,7 @@
     CHECK(refresh.is_due(10));
 }
 
-TEST_CASE("endpoint refresh: failures double the backoff up to its limits") {
+TEST_CASE("endpoint refresh: failures double the backoff up to its maximum") {
     endpoint_refresh refresh(0, 0);
     double now = 0;
     for (const double backoff : {0.5, 1.0, 2.0, 4.0, 8.0, 8.0}) {
@@ -36,7 +36,7 @@
     CHECK(refresh.is_due(now + 3));
 }
 
-TEST_CASE("endpoint refresh: after an update nothing is due until a poll fails") {
+TEST_CASE("endpoint refresh: after an update no poll is due until a poll fails") {
     endpoint_refresh refresh(0, 0);
     refresh.on_poll_failed(0, 0, 3600);
     refresh.on_update();
--- a/tests/router/indexed_vector_test.cpp
+++ b/tests/router/indexed_vector_test.cpp
@@ -7,20 +7,20 @@
 
 namespace harrierpass {
 
-TEST_CASE("indexed vector: elements are added at the end index and found by their index") {
+TEST_CASE("indexed vector: elements are added at the end index and accessed by their index") {
     indexed_vector<endpoint_index, std::string> names;
     CHECK(names.end_index() == 0_endpoint);
     CHECK(names.add("a") == 0_endpoint);
     CHECK(names.add("b") == 1_endpoint);
     CHECK(names[1_endpoint] == "b");
     names[0_endpoint] = "c";
-    std::string all;
-    for (const auto &each : names)
-        all += each;
-    CHECK(all == "cb");
+    std::string concatenated;
+    for (const auto &name : names)
+        concatenated += name;
+    CHECK(concatenated == "cb");
 }
 
-TEST_CASE("indexed vector: it grows to an index with default elements, and never shrinks") {
+TEST_CASE("indexed vector: grow_to adds default elements up to an index and never removes any") {
     indexed_vector<request_index, int> counts;
     CHECK_FALSE(counts.contains(0_request));
     counts.grow_to(3_request);
--- a/tests/router/load_reports_test.cpp
+++ b/tests/router/load_reports_test.cpp
@@ -5,7 +5,7 @@
 
 namespace harrierpass {
 
-TEST_CASE("load reports: a fresh report is believed, an old one decays to the mean") {
+TEST_CASE("load reports: the estimate is the latest report and decays to the mean") {
     load_reports reports;
     reported_load load;
     reports.record(load, {20}, false, 100);
@@ -15,7 +15,7 @@
     CHECK(reports.estimate(load, 1000) == doctest::Approx(1));
 }
 
-TEST_CASE("load reports: nothing reported changes nothing") {
+TEST_CASE("load reports: an empty report changes nothing") {
     load_reports reports;
     reported_load load;
     reports.record(load, {20}, false, 100);
@@ -25,7 +25,7 @@
     CHECK(reports.mean() == doctest::Approx(1));
 }
 
-TEST_CASE("load reports: the origin's does not count in the mean") {
+TEST_CASE("load reports: the mean does not include reports of the origin") {
     load_reports reports;
     reported_load load;
     reports.record(load, {20}, true, 100);
--- a/tests/router/state_table_test.cpp
+++ b/tests/router/state_table_test.cpp
@@ -6,7 +6,7 @@
 
 namespace harrierpass {
 
-TEST_CASE("state table: a row is found by state and event, and a missing one is none") {
+TEST_CASE("state table: a row is found by state and event; without a row the result is null") {
     const std::array<transition<int, char, double>, 3> table = {{
         {1, 'a', 2, 0.5},
         {1, 'b', 1, 1.5},
--- a/tests/router/typed_index_test.cpp
+++ b/tests/router/typed_index_test.cpp
@@ -10,7 +10,7 @@
 
 namespace harrierpass {
 
-TEST_CASE("typed index: a kind converts neither to another kind nor to a number, nor a number to it") {
+TEST_CASE("typed index: no implicit conversion between kinds, or to or from a number") {
     static_assert(!std::is_convertible_v<endpoint_index, request_index>);
     static_assert(!std::is_constructible_v<endpoint_index, request_index>);
     static_assert(!std::is_convertible_v<endpoint_index, index>);
@@ -20,17 +20,17 @@
     CHECK(endpoint_index{}.value() == 0);
 }
 
-TEST_CASE("typed index: none is no index of every kind, and of none in particular") {
+TEST_CASE("typed index: none converts to every kind of index and to an untyped index") {
     const endpoint_index endpoint = none;
     const request_index request = none;
-    const index plain = none;
-    CHECK(plain == std::numeric_limits<index>::max());
-    CHECK(endpoint.value() == plain);
+    const index untyped = none;
+    CHECK(untyped == std::numeric_limits<index>::max());
+    CHECK(endpoint.value() == untyped);
     CHECK(request == none);
     CHECK(0_request != none);
 }
 
-TEST_CASE("typed index: order, increment, hash and text are the number's") {
+TEST_CASE("typed index: order, increment, hash and output are those of the number") {
     CHECK(1_endpoint < 2_endpoint);
     CHECK_FALSE(2_endpoint < 2_endpoint);
     endpoint_index endpoint{4};
