--- a/src/proxy/request/attempt_result.hpp
+++ b/src/proxy/request/attempt_result.hpp
@@ -8,13 +8,13 @@
 
 namespace harrierpass::proxy {
 
-// What one attempt came to. Its response, if it is whole, is in the reader that the attempt was given.
+// The result of one attempt. A complete response is in the reader that was passed to the attempt.
 struct attempt_result {
     outcome result = outcome::discarded_unread;
-    std::optional<upstream_close_reason> reason; // why its connection ends; empty: the attempt was answered
-    bool request_ended = false;      // the request had its final response before the attempt ended
-    bool response_forwarded = false; // the response, or its beginning, was forwarded to the client
-    bool response_truncated = false; // ... and its rest is missing, by no fault of the endpoint
+    std::optional<upstream_close_reason> reason; // why the connection closes; empty: the endpoint responded
+    bool request_ended = false;      // the router made its final decision before the attempt ended
+    bool response_forwarded = false; // at least the beginning of the response was forwarded to the client
+    bool response_truncated = false; // the rest of a forwarded response is missing, not due to the endpoint
 };
 
 } // namespace harrierpass::proxy
--- a/src/proxy/request/rejection_reason.hpp
+++ b/src/proxy/request/rejection_reason.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Why the proxy itself ended a request without a response of an endpoint.
+// The reasons for which the proxy ends a request without the response of an endpoint.
 #pragma once
 
 #include <array>
@@ -8,25 +8,25 @@
 
 namespace harrierpass::proxy {
 
-// In the order of the texts below.
+// In the order of rejection_reason_texts.
 enum class rejection_reason : std::uint8_t {
     rejected_by_router,
     failed_by_router,
-    stopping,    // the planned stop leaves no time for it
-    out_of_time, // its deadline passed
+    stopping,    // a planned stop leaves no time for the request
+    out_of_time, // the request's deadline passed
     too_many_connections,
-    id_in_use, // another open request has the same X-Request-Id
+    id_in_use, // another active request has the same X-Request-Id
     out_of_memory,
     internal_error,
-    invariant // a step was refused that would have broken an invariant
+    invariant // a step was refused because it would have violated an invariant
 };
 
-// The texts of the log's field `refused-for`, by rejection_reason; operators' pages name them.
+// Values of the log field `refused-for`, by rejection_reason; the operators' documentation lists them.
 inline constexpr std::array<const char *, 9> rejection_reason_texts = {
     "router_rejected", "router_aborted", "stopping", "out_of_time", "too_many_connections",
     "id_in_use",       "no_memory",      "failed",   "invariant"};
 
-// The text in the log.
+// Returns the value in the log.
 constexpr const char *log_text(rejection_reason reason) {
     return rejection_reason_texts[static_cast<std::size_t>(reason)];
 }
--- a/src/proxy/request/request_session.hpp
+++ b/src/proxy/request/request_session.hpp
@@ -8,8 +8,8 @@
 
 namespace harrierpass::proxy {
 
-// Serves the next request of the connection in the calling thread, which owns the connection. Empty:
-// the connection is kept; else why it ends.
+// Serves the next request of the connection in the calling thread, which owns the connection. Returns why the
+// connection closes; empty: it stays open.
 close_decision serve_request(proxy_context &context, client_connection &client);
 
 } // namespace harrierpass::proxy
