--- a/src/proxy/request/active_request.cpp
+++ b/src/proxy/request/active_request.cpp
@@ -6,10 +6,10 @@
 
 namespace harrierpass::proxy {
 
-active_request::active_request(proxy_context &shared_context, client_connection &from)
-    : context(shared_context), client(from), guard(shared_context.invariants) {}
+active_request::active_request(proxy_context &shared_context, client_connection &connection)
+    : context(shared_context), client(connection), guard(shared_context.invariants) {}
 
-double active_request::client_deadline() const {
+double active_request::effective_deadline() const {
     return std::min(deadline, stop_deadline());
 }
 
@@ -29,9 +29,9 @@
 }
 
 bool active_request::may_keep_connection() const {
-    const bool body_is_read = !streams_body || body_forwarded;
-    const bool process_stays = !context.is_closing() && !context.is_disabled() && !context.handed_over;
-    return keep_connection && !client.closes_after_response && process_stays && body_is_read;
+    const bool body_was_read = !streams_body || body_forwarded;
+    const bool accepts_requests = !context.is_closing() && !context.is_disabled() && !context.handed_over;
+    return keep_connection && !client.closes_after_response && accepts_requests && body_was_read;
 }
 
 void active_request::count_as_active() {
--- a/src/proxy/request/active_request.hpp
+++ b/src/proxy/request/active_request.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// The state of one request while it is served, which the parts of its session share. It belongs to the thread
-// of the client's connection; nothing here is locked. Times are Unix times in seconds.
+// The state of one request, shared by the parts of its session. It belongs to the thread of the client's
+// connection and is not locked. Times are Unix times in seconds.
 #pragma once
 
 #include "proxy/client/client_connection.hpp"
@@ -13,70 +13,70 @@
 
 namespace harrierpass::proxy {
 
-// One request from its first byte to its response.
+// A request from its first byte to its response.
 struct active_request {
-    // Both have to outlive it.
-    active_request(proxy_context &shared_context, client_connection &from);
+    // Both arguments must outlive the request.
+    active_request(proxy_context &shared_context, client_connection &connection);
 
-    // When the planned stop needs the response; `never` without a stop.
+    // Time by which a planned stop needs the response; `never` without a stop.
     double stop_deadline() const { return context.respond_by.load(); }
-    // The end of what may be done for the client: its own deadline, or the planned stop's.
-    double client_deadline() const;
-    // s; the longest wait that the protocol lets a rejection advise.
+    // The client's deadline or the planned stop's, whichever is earlier.
+    double effective_deadline() const;
+    // Longest wait, in seconds, that a rejection may advise.
     double max_retry_after() const { return settings->router.constraints.max_retry_after; }
-    // The settings of its class; valid once `settings` and `class_id` are set.
+    // Settings of the request's class; valid once `settings` and `class_id` are set.
     const request_class &class_settings() const { return settings->router.request_classes[class_id.value()]; }
 
-    // Whether on_client_left() was called.
+    // Returns whether the client is known to have disconnected.
     bool client_has_left() const { return !client.socket; }
-    // The client has closed its connection: no response is owed to it, and nothing more is sent for it.
+    // Handles a client that closed its connection: it gets no response, and no further attempt is sent.
     void on_client_left();
-    // Looks, without waiting, whether the client has left. A proxy that stood still, or whose connects took
-    // long, would send requests whose clients had left long before.
+    // Checks without waiting whether the client has disconnected. After a pause of the process or a slow
+    // connect, the proxy would otherwise send requests whose clients disconnected long before.
     bool detect_client_left();
 
-    // Whether the client's connection may stay open after the response.
+    // Returns whether the client's connection may stay open after the response.
     bool may_keep_connection() const;
 
-    // Counts the request as active, once. One with a streamed body counts when its body has been forwarded,
-    // or when it ends before.
+    // Counts the request as active; later calls have no effect. A request with a streamed body is counted
+    // once the body is forwarded, or when the request ends before that.
     void count_as_active();
-    // Counts the result, once; the request is active no more.
+    // Counts the result once; the request is no longer counted as active.
     void count_result(request_result result);
 
-    // The router is owed nothing more: what is queued or in flight for the request ends. Without effect once
+    // Makes the router release the request: cancels what is queued or in flight for it. Has no effect once
     // the request is released.
     void abandon();
 
     proxy_context &context;
     client_connection &client;
 
-    // What was asked.
-    std::string id; // the X-Request-Id, as the client gave it
+    // Content of the request.
+    std::string id; // the client's X-Request-Id
     class_index class_id = none;
     std::string class_name;
-    std::shared_ptr<const configuration> settings; // by which the request was parsed
+    std::shared_ptr<const configuration> settings; // the configuration that the request was parsed with
     bool head_only = false;                        // a HEAD request: responses have no body
     int client_http_minor = 1;                     // the client speaks HTTP/1.minor
-    bool streams_body = false; // its body is too long to be held: it is forwarded as it comes
+    bool streams_body = false; // the body is too long to be buffered and is forwarded while it arrives
 
-    // Its time limits.
-    double received_at = 0;          // when the request had been read; 0: it never was
-    double client_timeout = 0;       // s that the client waits from the last byte of its request on
-    double deadline = 0;             // when the client stops waiting; 0: not known yet
-    double response_stall_limit = 0; // s in which a response that has begun must go on
+    // Time limits.
+    double received_at = 0;          // time at which the request was read; 0: not read yet
+    double client_timeout = 0;       // seconds that the client waits after the last byte of its request
+    double deadline = 0;             // time at which the client stops waiting; 0: not known yet
+    double response_stall_limit = 0; // seconds without progress after which a started response is stalled
 
-    // What has come of it.
-    request_handle handle;                         // how the dispatcher knows it
-    active_request_ids::id_lease id_lease;         // no other request has this id while it is held
-    request_metrics::scoped_request metrics_scope; // held while the request counts as active
+    // Progress and result.
+    request_handle handle;                         // identifies the request at the dispatcher
+    active_request_ids::id_lease id_lease;         // keeps other active requests from using the same id
+    request_metrics::scoped_request metrics_scope; // exists while the request counts as active
     bool counted_as_active = false;
-    bool body_forwarded = false;                  // a streamed body has been forwarded whole
-    bool keep_connection = true;                  // the client's, after the response
-    int response_status = 0;                      // of the response that was begun; 0: none was
-    index attempts = 0;                           // begun at endpoints
-    std::optional<rejection_reason> rejected_for; // empty: an endpoint's response, or none
-    request_guard guard;                          // refers to `id`, which must not change after it was read
+    bool body_forwarded = false;               // a streamed body has been forwarded completely
+    bool keep_connection = true;               // the client's connection may stay open after the response
+    int response_status = 0;                   // status of the response that was started; 0: none
+    index attempts = 0;                        // attempts started at endpoints
+    std::optional<rejection_reason> rejection; // empty: the endpoint's response was forwarded, or none
+    request_guard guard;                       // refers to `id`, which must not change once it is set
 };
 
 } // namespace harrierpass::proxy
--- a/src/proxy/request/active_request_ids.hpp
+++ b/src/proxy/request/active_request_ids.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// The ids of the requests that are open at this proxy, so that none is accepted twice at once. Safe for use
-// by several threads.
+// The ids of the requests that are active at this proxy, so that no two active requests share one. Safe for
+// use by several threads.
 #pragma once
 
 #include <cstddef>
@@ -11,24 +11,24 @@
 
 namespace harrierpass::proxy {
 
-// A set of ids, each held by one lease at most.
+// A set of ids, each owned by at most one lease.
 class active_request_ids {
 public:
-    // Holds an id for as long as it lives, and must not outlive the set. Empty: it holds none.
+    // Owns an id during its lifetime; must not outlive the set. An empty lease owns none.
     class id_lease {
     public:
         id_lease() = default;
         id_lease(const id_lease &) = delete;
         id_lease &operator=(const id_lease &) = delete;
-        // For acquire(): the id is in the set already.
+        // Used by acquire(), which has already added the id to the set.
         id_lease(active_request_ids &ids, std::string id) : ids_(&ids), id_(std::move(id)) {}
-        // A lease that was moved from holds none.
-        id_lease(id_lease &&that) noexcept
-            : ids_(std::exchange(that.ids_, nullptr)), id_(std::move(that.id_)) {}
-        // Exchanges the leases: `that` releases the one that was held here.
-        id_lease &operator=(id_lease &&that) noexcept {
-            std::swap(ids_, that.ids_);
-            std::swap(id_, that.id_);
+        // Leaves the moved-from lease empty.
+        id_lease(id_lease &&other) noexcept
+            : ids_(std::exchange(other.ids_, nullptr)), id_(std::move(other.id_)) {}
+        // Swaps the leases: `other` releases the id that this lease owned.
+        id_lease &operator=(id_lease &&other) noexcept {
+            std::swap(ids_, other.ids_);
+            std::swap(id_, other.id_);
             return *this;
         }
         // Releases the id.
@@ -36,7 +36,7 @@
             if (ids_ != nullptr)
                 ids_->release(id_);
         }
-        // Whether an id is held.
+        // Returns whether the lease owns an id.
         explicit operator bool() const { return ids_ != nullptr; }
 
     private:
@@ -44,26 +44,26 @@
         std::string id_;
     };
 
-    // Empty: another lease holds the id.
+    // Returns an empty lease if another one owns the id.
     id_lease acquire(std::string id) {
-        const std::lock_guard hold(lock_);
-        return open_.insert(id).second ? id_lease(*this, std::move(id)) : id_lease();
+        const std::lock_guard guard(lock_);
+        return leased_ids_.insert(id).second ? id_lease(*this, std::move(id)) : id_lease();
     }
-    // How many ids are held.
+    // Returns the number of ids in use.
     std::size_t size() {
-        const std::lock_guard hold(lock_);
-        return open_.size();
+        const std::lock_guard guard(lock_);
+        return leased_ids_.size();
     }
 
 private:
-    // The end of a lease.
+    // Called at the end of a lease.
     void release(const std::string &id) {
-        const std::lock_guard hold(lock_);
-        open_.erase(id);
+        const std::lock_guard guard(lock_);
+        leased_ids_.erase(id);
     }
 
     std::mutex lock_;
-    std::unordered_set<std::string> open_;
+    std::unordered_set<std::string> leased_ids_;
 };
 
 } // namespace harrierpass::proxy
--- a/src/proxy/request/body_upload.cpp
+++ b/src/proxy/request/body_upload.cpp
@@ -21,7 +21,7 @@
     case relay_result::complete:
         on_complete();
         return {outcome::timed_out, upstream_close_reason::timed_out};
-    case relay_result::sink_responded: // as a rule the endpoint rejects it before its end
+    case relay_result::sink_responded: // usually a rejection before the end of the body
         return {outcome::timed_out, upstream_close_reason::timed_out};
     case relay_result::sink_broken:
         return {outcome::connect_error, upstream_close_reason::write_failed};
@@ -38,18 +38,18 @@
 bool body_upload::is_cancelled() {
     auto &routing = request_.context.routing;
     const routing_decision decision = routing.next_decision(request_.handle);
-    request_ended_ = decision.kind_of != routing_decision::kind::attempt_running;
+    request_ended_ = decision.type != decision_type::attempt_running;
     return decision.cancel || request_ended_ || routing.now() >= request_.stop_deadline();
 }
 
-// The client's own waiting time starts with the last byte of its body.
+// The client's timeout starts with the last byte of its body.
 void body_upload::on_complete() {
     auto &routing = request_.context.routing;
     request_.context.metrics.attempt_sent();
     request_.body_forwarded = true;
     request_.count_as_active();
     request_.deadline = std::min(routing.now() + request_.client_timeout, request_.stop_deadline());
-    request_.guard.move_deadline(routing.now() + request_.client_timeout);
+    request_.guard.set_deadline(routing.now() + request_.client_timeout);
     routing.request_body_sent(request_.handle, request_.deadline);
 }
 
--- a/src/proxy/request/dispatcher.cpp
+++ b/src/proxy/request/dispatcher.cpp
@@ -11,7 +11,7 @@
     return std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count();
 }
 
-constexpr double max_sleep = 0.25; // s; then the timer looks whether it is to stop
+constexpr double max_timer_wait = 0.25; // seconds until the timer thread checks whether to stop
 
 } // namespace
 
@@ -28,7 +28,7 @@
     return unix_start_ + (steady_now() - steady_start_);
 }
 
-// The clock is read under the lock, so that the router's time never goes back.
+// Reads the clock under the lock, so that the router's time never goes backwards.
 template <typename Event> void dispatcher::report_event(Event event) {
     std::vector<endpoint_index> health_checks;
     bool watch_requested = false;
@@ -48,30 +48,30 @@
         request_handle *const handle = action.request != none ? requests_[action.request] : nullptr;
         switch (action.kind) {
         case action_kind::start_attempt:
-            handle->decision_ = {.kind_of = routing_decision::kind::start_attempt,
+            handle->decision_ = {.type = decision_type::start_attempt,
                                  .endpoint = action.endpoint,
                                  .attempt = handle->next_attempt_};
             ++handle->next_attempt_;
-            handle->endpoints_used_.push_back(action.endpoint);
+            handle->attempt_endpoints_.push_back(action.endpoint);
             ++references_[action.endpoint];
             break;
         case action_kind::cancel_attempt:
             handle->decision_.cancel = handle->decision_.attempt == action.attempt;
             break;
         case action_kind::reject_request:
-            handle->decision_.kind_of = routing_decision::kind::reject;
+            handle->decision_.type = decision_type::reject;
             handle->decision_.retry_after = action.time;
             break;
         case action_kind::fail_request:
-            handle->decision_.kind_of = routing_decision::kind::fail;
+            handle->decision_.type = decision_type::fail;
             break;
         case action_kind::release_request:
             requests_[action.request] = nullptr;
             free_indices_.push_back(action.request);
             handle->request_ = none;
-            for (const endpoint_index each : handle->endpoints_used_)
-                --references_[each];
-            continue; // its own thread reported the event, so it need not be woken
+            for (const endpoint_index endpoint : handle->attempt_endpoints_)
+                --references_[endpoint];
+            continue; // no wake-up: the request's own thread reported the event
         case action_kind::check_health:
             health_checks.push_back(action.endpoint);
             ++references_[action.endpoint];
@@ -83,25 +83,25 @@
             watch_requested = true;
             continue;
         }
-        if (!pthread_equal(handle->waiter_, pthread_self()))
-            wake_thread(handle->waiter_);
+        if (!pthread_equal(handle->thread_, pthread_self()))
+            wake_thread(handle->thread_);
     }
     router_->actions.clear();
 }
 
 bool dispatcher::submit(request_handle &handle, request_info request,
-                        const std::shared_ptr<const configuration> &read_by) {
+                        const std::shared_ptr<const configuration> &parsed_with) {
     bool submitted = false;
     report_event([&](double now) {
-        // Its indices into lists of names hold for one configuration only.
-        if (read_by != configuration_)
+        // The request's class and tenant indices are valid for one configuration only.
+        if (parsed_with != configuration_)
             return;
         submitted = true;
         if (free_indices_.empty())
             free_indices_.push_back(requests_.add(nullptr));
         request.request = handle.request_ = free_indices_.back();
         free_indices_.pop_back();
-        handle.waiter_ = pthread_self();
+        handle.thread_ = pthread_self();
         requests_[request.request] = &handle;
         router_->on_request(now, request);
     });
@@ -111,28 +111,28 @@
 routing_decision dispatcher::next_decision(request_handle &handle) {
     const std::lock_guard guard(lock_);
     const routing_decision decision = handle.decision_;
-    if (decision.kind_of == routing_decision::kind::start_attempt)
-        handle.decision_.kind_of = routing_decision::kind::attempt_running;
+    if (decision.type == decision_type::start_attempt)
+        handle.decision_.type = decision_type::attempt_running;
     return decision;
 }
 
 double dispatcher::attempt_write_deadline(request_handle &handle) {
     const std::lock_guard guard(lock_);
     const bool is_running = handle.request_ != none &&
-                            handle.decision_.kind_of == routing_decision::kind::attempt_running &&
+                            handle.decision_.type == decision_type::attempt_running &&
                             !handle.decision_.cancel;
     return is_running ? router_->attempt_write_deadline(handle.request_) : 0;
 }
 
-void dispatcher::attempt_finished(request_handle &handle, outcome result, bool fetched) {
+void dispatcher::attempt_finished(request_handle &handle, outcome result, bool from_origin) {
     report_event([&](double now) {
         const attempt_number attempt = handle.decision_.attempt;
         handle.decision_.cancel = false;
-        if (handle.decision_.kind_of == routing_decision::kind::attempt_running)
+        if (handle.decision_.type == decision_type::attempt_running)
             handle.decision_ = {};
         if (handle.request_ != none)
             router_->on_attempt_finished(now, handle.request_, attempt, result, result == outcome::completed,
-                                         fetched);
+                                         from_origin);
     });
 }
 
@@ -143,10 +143,10 @@
     });
 }
 
-void dispatcher::response_started(request_handle &handle, bool fetched) {
+void dispatcher::response_started(request_handle &handle, bool from_origin) {
     report_event([&](double now) {
         if (handle.request_ != none)
-            router_->on_response_started(now, handle.request_, fetched);
+            router_->on_response_started(now, handle.request_, from_origin);
     });
 }
 
@@ -170,8 +170,8 @@
 }
 
 void dispatcher::reserve_references(std::span<const endpoint_info> entries) {
-    for (const auto &each : entries)
-        references_.grow_to(each.endpoint);
+    for (const auto &entry : entries)
+        references_.grow_to(entry.endpoint);
 }
 
 void dispatcher::endpoints_updated(endpoint_update_kind kind, std::span<const endpoint_info> entries) {
@@ -190,11 +190,11 @@
     });
 }
 
-void dispatcher::health_check_finished(endpoint_index endpoint, std::optional<bool> answered) {
+void dispatcher::health_check_finished(endpoint_index endpoint, std::optional<bool> healthy) {
     report_event([&](double now) {
         --references_[endpoint];
-        if (answered)
-            router_->on_health_check_finished(now, endpoint, *answered);
+        if (healthy)
+            router_->on_health_check_finished(now, endpoint, *healthy);
     });
 }
 
@@ -215,22 +215,22 @@
     return router_->subset();
 }
 
-void dispatcher::run_timer(const std::function<bool()> &stopped) {
-    while (!stopped()) {
+void dispatcher::run_timer(const std::function<bool()> &should_stop) {
+    while (!should_stop()) {
         double due;
         {
             const std::lock_guard guard(lock_);
             due = wake_at_;
             if (due <= now())
-                wake_at_ = now() + max_sleep; // unless the router sets it
+                wake_at_ = now() + max_timer_wait; // unless the router sets it earlier
         }
         if (const double wait = due - now(); wait > 0) {
-            wait_on({}, std::min(wait, max_sleep));
+            wait_on({}, std::min(wait, max_timer_wait));
             continue;
         }
         try {
             report_event([&](double now) { router_->on_timer(now); });
-        } catch (const std::bad_alloc &) { // the next call finds what this one left
+        } catch (const std::bad_alloc &) { // the next call continues the work
         }
     }
 }
--- a/src/proxy/request/dispatcher.hpp
+++ b/src/proxy/request/dispatcher.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// The router behind one lock, with its clock and its timer. Threads report events; what the router decides is
-// handed to the request that it names, whose thread is woken.
+// Runs the router under one lock, with its clock and its timer. Threads report events; each decision of the
+// router is stored with its request, and the request's thread is woken.
 #pragma once
 
 #include "net/threads.hpp"
@@ -14,101 +14,108 @@
 
 namespace harrierpass::proxy {
 
-// What the router wants of a request now.
+// What the thread of a request has to do; `reject` and `fail` are final.
+enum class decision_type : std::uint8_t { queued, start_attempt, attempt_running, reject, fail };
+
+// The router's current decision on a request.
 struct routing_decision {
-    // What the request's thread is to do; the last two are final.
-    enum class kind : std::uint8_t { queued, start_attempt, attempt_running, reject, fail };
-    kind kind_of = kind::queued;
+    decision_type type = decision_type::queued;
     endpoint_index endpoint = none; // start_attempt, attempt_running
     attempt_number attempt{};       // start_attempt, attempt_running
-    bool cancel = false;            // attempt_running: the attempt is to be abandoned
-    double retry_after = 0;         // reject: s that the client is to wait
+    bool cancel = false;            // attempt_running: the attempt has to be canceled
+    double retry_after = 0;         // reject: advised wait of the client, in seconds
 };
 
-// A request as its thread and the dispatcher know it. Protected by the dispatcher's lock; its thread reads it
-// through the dispatcher alone.
+// Links a request's thread and the dispatcher. Protected by the dispatcher's lock; the thread accesses it
+// only through the dispatcher.
 class request_handle {
     friend class dispatcher;
     request_index request_ = none;
-    pthread_t waiter_{};
+    pthread_t thread_{};
     routing_decision decision_;
     attempt_number next_attempt_{};
-    std::vector<endpoint_index> endpoints_used_; // of its attempts
+    std::vector<endpoint_index> attempt_endpoints_; // one for each attempt
 };
 
-// Makes the router; another one than the default is for comparisons only.
+// Creates the router; one other than the default is used for comparisons only.
 using router_factory = std::unique_ptr<router> (*)(const router_settings &settings, std::uint32_t seed,
                                                    double now);
 
-// Every member may be called from any thread, except where it says otherwise.
+// Every member may be called from any thread, except where noted otherwise.
 class dispatcher {
 public:
-    // Starts the clock and makes the router by these settings.
+    // Starts the clock and creates the router with these settings.
     dispatcher(std::shared_ptr<const configuration> settings,
                router_factory make_router = subsets::make_subset_router);
 
-    // The configuration in force. It may change between two calls; a copy of the pointer stays as it is.
+    // Returns the configuration in force. It may change between two calls; the returned object does not.
     std::shared_ptr<const configuration> configuration_in_force();
-    // Puts another configuration and the snapshot that was read by it into force, in one step.
+    // Puts a configuration and the snapshot that was read with it into force in one step.
     void apply(std::shared_ptr<const configuration> next, std::span<const endpoint_info> entries);
 
-    double now() const; // Unix time, s; goes forward only
+    double now() const; // Unix time in seconds; monotonic
 
-    // What the router asks of others. Neither may block. Set before events are reported.
+    // Callbacks for the router's actions. They must not block and must be set before events are reported.
     std::function<void(endpoint_index endpoint)> on_check_health;
     std::function<void()> on_watch_endpoints;
 
-    // The following are for the request's own thread. A submitted request must be kept until is_released().
+    // The following are called by the request's own thread. A submitted request must exist until
+    // is_released().
 
-    // False, and nothing done, where another configuration is in force than the one the request was read by.
+    // Returns false, without any effect, if the request was parsed with a configuration that is no longer in
+    // force.
     bool submit(request_handle &handle, request_info request,
-                const std::shared_ptr<const configuration> &read_by);
-    // A start_attempt is handed out once; from then on it is attempt_running.
+                const std::shared_ptr<const configuration> &parsed_with);
+    // Returns start_attempt only once; the next calls return attempt_running.
     routing_decision next_decision(request_handle &handle);
-    // Until when (Unix time, s) the running attempt may be written, to its last byte; 0: no longer.
+    // Returns the time (Unix time in seconds) by which the running attempt must be written completely; 0: it
+    // may not be written any more.
     double attempt_write_deadline(request_handle &handle);
-    // `fetched`: the response came from the origin.
-    void attempt_finished(request_handle &handle, outcome result, bool fetched);
-    // As attempt_finished(), and the client has had its final response.
+    // `from_origin`: the endpoint fetched the response from the origin.
+    void attempt_finished(request_handle &handle, outcome result, bool from_origin);
+    // Like attempt_finished(), for a client that has its final response.
     void request_finished(request_handle &handle, outcome result);
-    // The response is passed on to the client as it comes. `fetched`: from the origin.
-    void response_started(request_handle &handle, bool fetched);
-    // A long body has been sent; the time until the deadline starts.
+    // Reports that the response is being forwarded to the client while it arrives. `from_origin`: the
+    // endpoint fetched it from the origin.
+    void response_started(request_handle &handle, bool from_origin);
+    // Reports that a long body has been sent; the time until the deadline starts.
     void request_body_sent(request_handle &handle, double deadline);
-    // The client left: what is queued for the request ends, an attempt in flight goes on.
+    // Reports that the client disconnected: a queued request ends, an attempt in flight continues.
     void client_disconnected(request_handle &handle);
-    // Whether the router has let go of the request.
+    // Returns whether the router has released the request.
     [[nodiscard]] bool is_released(request_handle &handle);
 
-    // The endpoint list changed, or a poll for it failed.
+    // Reports a change of the endpoint list or a failed poll.
     void endpoints_updated(endpoint_update_kind kind, std::span<const endpoint_info> entries);
-    // `answered` is empty where the check was not made.
-    void health_check_finished(endpoint_index endpoint, std::optional<bool> answered);
-    // Whether an active request had an attempt there, or a health check runs.
+    // `healthy` is empty if the check was not made.
+    void health_check_finished(endpoint_index endpoint, std::optional<bool> healthy);
+    // Returns whether an active request had an attempt at the endpoint, or a health check of it is in flight.
     bool is_referenced(endpoint_index endpoint);
-    // How many of these endpoints the router avoids.
+    // Returns how many of these endpoints the router avoids.
     std::size_t count_avoided(std::span<const endpoint_index> endpoints);
-    subset_view subset();                                 // which endpoints this proxy uses now
-    void run_timer(const std::function<bool()> &stopped); // the timer thread's loop, until `stopped`
+    // Returns the endpoints that this proxy uses now.
+    subset_view subset();
+    // Runs the timer until `should_stop` returns true; called by the timer thread.
+    void run_timer(const std::function<bool()> &should_stop);
 
 private:
     // Calls event(now) under the lock and delivers the router's actions before the next event.
     template <typename Event> void report_event(Event event);
-    // Hands the router's actions to the requests and wakes their threads. What is to be done without the lock
-    // goes to the parameters. The caller holds lock_.
+    // Stores the router's actions with the requests and wakes their threads. Actions to be done without the
+    // lock are returned in the parameters. The caller holds lock_.
     void deliver_actions(std::vector<endpoint_index> &health_checks, bool &watch_requested);
-    // Makes space for the reference counts of these endpoints. The caller holds lock_.
+    // Allocates the reference counts of these endpoints. The caller holds lock_.
     void reserve_references(std::span<const endpoint_info> entries);
 
     const double unix_start_;
     const double steady_start_;
-    std::mutex lock_; // protects what follows, and every request_handle
+    std::mutex lock_; // protects the members below and every request_handle
     std::shared_ptr<const configuration> configuration_;
     std::unique_ptr<router> router_;
-    indexed_vector<request_index, request_handle *> requests_; // null: free
+    indexed_vector<request_index, request_handle *> requests_; // null: unused index
     std::vector<request_index> free_indices_;
-    indexed_vector<endpoint_index, index> references_; // attempts of active requests, and health checks
-    double wake_at_;                                   // Unix time, s; when the router's timer is due
+    indexed_vector<endpoint_index, index> references_; // by attempts of active requests and health checks
+    double wake_at_;                                   // Unix time in seconds; when the router's timer is due
 };
 
 } // namespace harrierpass::proxy
--- a/src/proxy/request/protocol.hpp
+++ b/src/proxy/request/protocol.hpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-// The platform's protocol as messages: what a client's request asks, how it is forwarded to an endpoint, what
-// an endpoint's response means, and the head of our own responses. No sockets and no state; durations are in
-// seconds.
+// The platform's protocol in terms of messages: parses a client's request, builds the request for an
+// endpoint, classifies an endpoint's response, and builds the head of the proxy's own responses. Has no
+// sockets and no state; durations are in seconds.
 #pragma once
 
 #include "net/http.hpp"
@@ -13,34 +13,35 @@
 
 namespace harrierpass::proxy {
 
-// A request as the router needs it, but for its deadline, which is the caller's to set.
+// A request in the router's terms. The caller sets its deadline.
 struct parsed_request {
     request_info info;
-    double client_timeout = 0;   // s that the client waits, bounded
-    const char *fault = nullptr; // if not null, it is no request of the protocol: a line for the client
+    double client_timeout = 0;   // seconds that the client waits, bounded
+    const char *fault = nullptr; // a line for the client if the request is malformed, else null
 };
-// Reads a client's request by the settings; `fault` is set where it is none.
+// Parses a client's request; `fault` is set if it violates the protocol.
 parsed_request parse_request(const http_head &head, const configuration &settings);
 
-// The request as an endpoint gets it: the protocol's fields unchanged, those of the hop written anew.
-// `time_left`: s that the client still waits. Without `whole_body`, the body is long and keeps its framing.
+// Returns the request for an endpoint: the protocol's fields unchanged, the hop-by-hop fields rewritten.
+// `time_left`: seconds that the client still waits. Without `whole_body`, the body is streamed and keeps its
+// framing.
 std::string forwarded_request(const http_reader &request, double time_left, bool whole_body = true);
 
-// What an endpoint's complete response says of its attempt. `proxies_fetch`: endpoints do not fetch what they
-// lack but say so, and the router turns to the origin.
+// Returns the outcome of an attempt from the endpoint's complete response. `proxies_fetch`: on a cache miss
+// endpoints do not fetch the value but report the miss, and the router sends the request to the origin.
 outcome outcome_of(const http_head &response, bool proxies_fetch);
-// Whether the endpoint did not have the value in its cache.
+// Returns whether the endpoint did not have the value in its cache.
 bool is_cache_miss(const http_head &response);
 
-// The header fields of an endpoint's response that are forwarded to the client.
+// Returns the header fields of an endpoint's response that are forwarded to the client.
 std::string forwarded_headers(const http_head &response);
-// The field "Retry-After"; empty where `seconds` is not positive.
+// Returns the field "Retry-After"; empty unless `seconds` is positive.
 std::string retry_after_header(double seconds);
-// The fields that tell the end of a body: its length, or that it comes in chunks.
+// The fields that frame a body: by its length or in chunks.
 std::string content_length_header(std::size_t size);
 inline constexpr std::string_view chunked_header = "Transfer-Encoding: chunked\r\n";
-// The head of a response of ours. `fields` and `framing_field` are whole lines; without `keep_connection` it
-// says that the connection closes.
+// Returns the head of a response of the proxy itself. `fields` and `framing_field` are complete lines;
+// without `keep_connection` the head announces that the connection closes.
 std::string response_head(int status, std::string_view fields, std::string_view framing_field,
                           bool keep_connection);
 
--- a/src/proxy/request/request_guard.cpp
+++ b/src/proxy/request/request_guard.cpp
@@ -7,9 +7,10 @@
 namespace harrierpass::proxy {
 namespace {
 
-constexpr double deadline_slack = 0.15; // s; the protocol's, for the deadline that an endpoint is told
+// Seconds by which, in the protocol, the time that an endpoint is given may exceed the client's.
+constexpr double deadline_slack = 0.15;
 
-// By invariant.
+// Names in the log, by invariant.
 constexpr std::array<const char *, 10> invariant_names = {"answered_before_close", "one_answer",
                                                           "send_before_answer",    "send_before_deadline",
                                                           "send_for_client",       "one_attempt_at_a_time",
@@ -18,42 +19,42 @@
 
 } // namespace
 
-const char *name_of(invariant which) {
-    return invariant_names[static_cast<std::size_t>(which)];
+const char *name_of(invariant value) {
+    return invariant_names[static_cast<std::size_t>(value)];
 }
 
-void invariant_monitor::violated(invariant which, std::string_view request_id) {
+void invariant_monitor::report_violation(invariant violated, std::string_view request_id) {
     counters_.add(counter::invariants_violated);
-    log_.error("invariant-violated name=", name_of(which), " id=", request_id);
+    log_.error("invariant-violated name=", name_of(violated), " id=", request_id);
 }
 
 request_guard::~request_guard() {
     if (owes_response())
-        monitor_.violated(invariant::response_before_close, id_);
+        monitor_.report_violation(invariant::response_before_close, id_);
 }
 
-void request_guard::request_read(std::string_view id, const request_class &kind, double deadline) {
+void request_guard::request_read(std::string_view id, const request_class &settings, double deadline) {
     id_ = id;
-    class_ = kind;
+    class_settings_ = settings;
     deadline_ = deadline;
-    read_ = true;
+    is_read_ = true;
 }
 
-bool request_guard::require(bool condition, invariant which) {
+bool request_guard::require(bool condition, invariant checked) {
     if (condition)
         return true;
-    violated_ = true;
-    monitor_.violated(which, id_);
+    step_refused_ = true;
+    monitor_.report_violation(checked, id_);
     return false;
 }
 
 bool request_guard::may_start_attempt(double now, double forwarded_timeout) {
-    const bool retries_unsafely = possibly_executed_ && class_.effect == effect_kind::non_idempotent;
-    const bool needs_window = possibly_executed_ && class_.effect == effect_kind::deduplicated;
-    const bool in_window = now < first_executed_at_ + class_.deduplication_window;
+    const bool retries_unsafely = possibly_executed_ && class_settings_.effect == effect_kind::non_idempotent;
+    const bool needs_window = possibly_executed_ && class_settings_.effect == effect_kind::deduplicated;
+    const bool in_window = now < first_executed_at_ + class_settings_.deduplication_window;
     const bool allowed =
-        require(!responded_, invariant::attempt_before_response) &&
-        require(!client_left_, invariant::attempt_for_client) &&
+        require(!response_started_, invariant::attempt_before_response) &&
+        require(!client_disconnected_, invariant::attempt_for_client) &&
         require(now < deadline_, invariant::attempt_before_deadline) &&
         require(forwarded_timeout <= deadline_ - now + deadline_slack, invariant::deadline_forwarded) &&
         require(!attempt_in_flight_, invariant::one_attempt_at_a_time) &&
@@ -78,9 +79,9 @@
 }
 
 bool request_guard::may_respond() {
-    if (!require(!responded_, invariant::one_response))
+    if (!require(!response_started_, invariant::one_response))
         return false;
-    responded_ = true;
+    response_started_ = true;
     return true;
 }
 
--- a/src/proxy/request/request_guard.hpp
+++ b/src/proxy/request/request_guard.hpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
-// The invariants of a request's life, checked at the one place where each step is taken: an attempt is sent,
-// an attempt is retried, a response is begun, a connection closes, the process ends. The router decides; the
-// guard sees what is really done, by rules of its own, and refuses a step that would break one. Each refusal
-// or breach is counted (`invariants_violated`) and logged with the request's id. No I/O but the log.
+// Checks the invariants of a request at each step: an attempt is sent, an attempt is retried, a response is
+// started, a connection closes, the process ends. The router decides on the steps; the guard checks them
+// independently when they are carried out, and refuses one that would violate an invariant. Each violation is
+// counted (`invariants_violated`) and logged with the request's id. Does no I/O except for logging.
 #pragma once
 
 #include "base/counters.hpp"
@@ -14,79 +14,80 @@
 
 namespace harrierpass::proxy {
 
-// What holds of every request. A name in the log is name_of().
+// The invariants of every request. name_of() is the name in the log.
 enum class invariant : std::uint8_t {
-    response_before_close, // a request that was read has a response, or its client has left, when it is over
-    one_response,          // no second response
-    attempt_before_response, // no attempt once the response was begun
+    response_before_close,   // a request that was read ends with a response or with the client disconnected
+    one_response,            // no second response
+    attempt_before_response, // no attempt once the response has started
     attempt_before_deadline, // no attempt after the client's deadline
-    attempt_for_client,      // no attempt once the client was seen to have left
+    attempt_for_client,      // no attempt once the client is known to have disconnected
     one_attempt_at_a_time,   // no attempt while another one of the request is in flight
-    no_unsafe_retry,         // a non-idempotent request that may have been executed is not sent again
-    retry_in_window,         // a deduplicated one that may have been, only while endpoints remember it
-    deadline_forwarded,      // the deadline that an endpoint is told is what the client has left
+    no_unsafe_retry,         // a non-idempotent request that may have been executed is not retried
+    retry_in_window,         // no retry of a deduplicated, possibly executed request after its window
+    deadline_forwarded,      // an endpoint is not given more time than the client has left
     nothing_left_at_end      // no request is active when the process ends
 };
-// The invariant's name in the log; operators' pages name it.
-const char *name_of(invariant which);
+// Returns the invariant's name in the log; the operators' documentation lists it.
+const char *name_of(invariant value);
 
 // Counts and logs violations. Safe for use by several threads.
 class invariant_monitor {
 public:
-    // Both have to outlive it.
-    invariant_monitor(counters &count, log &logger) : counters_(count), log_(logger) {}
-    // Counts and logs a violation; `request_id` is "-" where it concerns no single request.
-    void violated(invariant which, std::string_view request_id);
+    // Both arguments must outlive the monitor.
+    invariant_monitor(counters &counts, log &logger) : counters_(counts), log_(logger) {}
+    // Counts and logs a violation; `request_id` is "-" if it does not concern a single request.
+    void report_violation(invariant violated, std::string_view request_id);
 
 private:
     counters &counters_;
     log &log_;
 };
 
-// The guard of one request, used by the thread that serves it. Times are Unix times in seconds.
+// Checks the steps of one request; used by the thread that serves it. Times are Unix times in seconds.
 class request_guard {
 public:
-    // `monitor` has to outlive it.
+    // `monitor` must outlive the guard.
     explicit request_guard(invariant_monitor &monitor) : monitor_(monitor) {}
-    // The request is over: checks that it has its response.
+    // Checks that the request has its response, unless its client disconnected.
     ~request_guard();
     request_guard(const request_guard &) = delete;
     request_guard &operator=(const request_guard &) = delete;
 
-    // The request has been read: from now on a response is owed. `id` has to outlive the guard.
-    void request_read(std::string_view id, const request_class &kind, double deadline);
-    // For a request whose body is forwarded as it comes: the deadline counts from the body's end.
-    void move_deadline(double deadline) { deadline_ = deadline; }
-    // Whether an attempt may begin now. `forwarded_timeout`: s that its endpoint is told to have.
+    // Reports that the request has been read: a response is required from now on. `id` must outlive the
+    // guard.
+    void request_read(std::string_view id, const request_class &settings, double deadline);
+    // Replaces the deadline of a request with a streamed body, which counts from the end of the body.
+    void set_deadline(double deadline) { deadline_ = deadline; }
+    // Returns whether an attempt may start now. `forwarded_timeout`: seconds that its endpoint is given.
     bool may_start_attempt(double now, double forwarded_timeout);
-    // The attempt that was begun, if any, has ended.
+    // Reports the end of the attempt in flight, if any.
     void attempt_finished(outcome result);
-    // Whether the response may be begun.
+    // Returns whether the response may start.
     bool may_respond();
-    // The client has left: no response is owed to it.
-    void on_client_disconnected() { client_left_ = true; }
+    // Reports that the client disconnected: no response is required.
+    void on_client_disconnected() { client_disconnected_ = true; }
 
-    // Whether the client still waits for a response.
-    bool owes_response() const { return read_ && !responded_ && !client_left_; }
-    // A step was refused: the request has to end at once.
-    bool was_violated() const { return violated_; }
-    // An attempt may have been executed, so that no rejection may promise the opposite.
+    // Returns whether the client still waits for a response.
+    bool owes_response() const { return is_read_ && !response_started_ && !client_disconnected_; }
+    // Returns whether a step was refused; the request must then end at once.
+    bool step_was_refused() const { return step_refused_; }
+    // Returns whether an endpoint may have executed the request. A rejection would deny that.
     bool possibly_executed() const { return possibly_executed_; }
 
 private:
-    // Returns `condition`; where it is false, records the violation.
-    bool require(bool condition, invariant which);
+    // Returns `condition`; reports a violation if it is false.
+    bool require(bool condition, invariant checked);
 
     invariant_monitor &monitor_;
     std::string_view id_;
-    request_class class_;
+    request_class class_settings_;
     double deadline_ = 0;
     double last_sent_at_ = 0;
-    double first_executed_at_ = 0; // when the first of the attempts was sent that may have been executed
-    bool read_ = false;
-    bool responded_ = false;
-    bool client_left_ = false;
-    bool violated_ = false;
+    double first_executed_at_ = 0; // start of the first attempt that may have been executed
+    bool is_read_ = false;
+    bool response_started_ = false;
+    bool client_disconnected_ = false;
+    bool step_refused_ = false;
     bool attempt_in_flight_ = false;
     bool possibly_executed_ = false;
 };
--- a/src/proxy/request/request_session.cpp
+++ b/src/proxy/request/request_session.cpp
@@ -20,22 +20,25 @@
 
 using std::string_view;
 
-// s after the client's deadline until which the router gives its final decision by itself.
+// Seconds after the client's deadline within which the router makes its final decision by itself.
 constexpr double final_decision_margin = 0.01;
-constexpr double gateway_timeout_margin = 0.1; // s before the deadline from which on a failure is a 504
-// Of the latency objective; where that is a second and more, the delay of a lost packet.
+// A failure within this many seconds of the deadline is a 504 instead of a 502.
+constexpr double gateway_timeout_margin = 0.1;
+// Share of the latency objective without progress after which a response is stalled. For an objective of one
+// second or more it covers the delay of a lost packet.
 constexpr double response_stall_share = 0.25;
-constexpr double stop_linger = 0.1; // s after a stop's last response; a third of what is left until the kill
-// A client may read why its long body was rejected.
+// Seconds after the last response of a planned stop; a third of the time until the process is killed.
+constexpr double stop_lingering_time = 0.1;
+// Lets a client read why its long body was rejected.
 constexpr lingering_close upload_linger = {2, max_streamed_body};
 
-// Coordinates the request: reads it, submits it to the router, and does what the router decides until there
-// is a response.
+// Coordinates a request: reads it, submits it to the router, and carries out the router's decisions until
+// there is a response.
 class request_session {
 public:
     request_session(proxy_context &context, client_connection &client)
         : context_(context), client_(client), request_(context, client), writer_(request_) {}
-    // A failure half way, as for want of memory, leaves nothing of the request at the router.
+    // Makes the router release the request if an exception, such as std::bad_alloc, interrupted it.
     ~request_session() {
         if (submitted_)
             request_.abandon();
@@ -44,30 +47,30 @@
     request_session &operator=(const request_session &) = delete;
 
     close_decision serve();
-    // After an exception of serve(): writes the response that is owed, if any.
+    // Called after an exception of serve(): writes the response if there was none yet.
     void fail(rejection_reason reason);
-    // One line for the request: its response, its attempts, and what became of its connection.
+    // Logs the request: its response, its attempts, and whether its connection stays open.
     void log_end(close_decision decision) const;
 
 private:
     close_decision process(http_reader &message);
-    close_decision refuse(const request_read_result &read);
+    close_decision respond_to_unreadable(const request_read_result &read);
     close_decision respond_to_health_check();
     close_decision handle(http_reader &message);
     void identify(const http_head &head, const parsed_request &parsed);
-    void expect_response(const parsed_request &parsed);
-    std::optional<rejection_reason> admission_fault();
+    void set_request_class(const parsed_request &parsed);
+    std::optional<rejection_reason> admission_rejection();
     close_decision reject_at_admission(rejection_reason reason);
     const char *submit(const http_head &head, parsed_request &parsed);
     void set_deadlines(parsed_request &parsed);
 
     close_decision route(http_reader &message);
-    close_decision conclude(const routing_decision &decision);
-    close_decision expire();
+    close_decision finish_without_endpoint_response(const routing_decision &decision);
+    close_decision handle_expired_deadline();
     bool wait_in_queue();
     attempt_result attempt(const routing_decision &decision, http_reader &message, http_reader &response);
     void report(const attempt_result &result, const http_reader &response);
-    close_decision conclude_forwarded(const attempt_result &result);
+    close_decision finish_forwarded(const attempt_result &result);
     close_decision abandon_and_respond(bool possibly_executed,
                                        std::optional<rejection_reason> reason = std::nullopt);
 
@@ -77,8 +80,8 @@
     client_connection &client_;
     active_request request_;
     response_writer writer_;
-    buffer_pool::buffer_handle buffer_; // holds the request as it was read
-    bool submitted_ = false;            // the router knows the request: it must be released in the end
+    buffer_pool::buffer_handle buffer_; // contains the request
+    bool submitted_ = false;            // the router has the request and must release it at the end
 };
 
 close_decision request_session::serve() {
@@ -93,7 +96,8 @@
     return decision;
 }
 
-// Bytes of a next request, which come before this one's response only from a client that does not wait.
+// Keeps the bytes of the next request for it. Only a client that pipelines requests sends them before the
+// response.
 void request_session::keep_pipelined_bytes(const http_reader &message) {
     const string_view next = message.pipelined_bytes();
     if (next.empty())
@@ -106,7 +110,7 @@
 close_decision request_session::process(http_reader &message) {
     const request_read_result read = request_reader(context_, client_).read(message);
     if (read.failure)
-        return refuse(read);
+        return respond_to_unreadable(read);
     const http_head &head = message.head();
     request_.streams_body = read.body_continues;
     request_.keep_connection = head.keeps_alive();
@@ -120,7 +124,7 @@
     return handle(message);
 }
 
-close_decision request_session::refuse(const request_read_result &read) {
+close_decision request_session::respond_to_unreadable(const request_read_result &read) {
     if (read.response_status == 0)
         return read.failure;
     std::string fields;
@@ -144,7 +148,7 @@
     if (parsed.fault != nullptr)
         return writer_.refuse_malformed(400, {}, parsed.fault);
     identify(head, parsed);
-    if (const auto reason = admission_fault())
+    if (const auto reason = admission_rejection())
         return reject_at_admission(*reason);
     if (const char *const fault = submit(head, parsed))
         return writer_.refuse_malformed(400, {}, fault);
@@ -154,23 +158,23 @@
 void request_session::identify(const http_head &head, const parsed_request &parsed) {
     request_.received_at = context_.routing.now();
     request_.id = head.header("X-Request-Id");
-    expect_response(parsed);
+    set_request_class(parsed);
     if (!request_.streams_body)
         request_.count_as_active();
     request_.class_name = request_.settings->request_classes[request_.class_id.value()];
 }
 
-// From now on a response is owed, by the settings that the request was parsed with.
-void request_session::expect_response(const parsed_request &parsed) {
+// Sets the class by the configuration that the request was parsed with. A response is required from here on.
+void request_session::set_request_class(const parsed_request &parsed) {
     request_.class_id = parsed.info.class_id;
     const double upload_time = request_.streams_body ? max_upload_time : 0;
     request_.guard.request_read(request_.id, request_.class_settings(),
                                 request_.received_at + parsed.client_timeout + upload_time);
 }
 
-// Empty: the request may go to the router. Two requests with one id cannot be told apart at the endpoints, so
-// that the second one could have its effect in the first one's name.
-std::optional<rejection_reason> request_session::admission_fault() {
+// Returns empty if the request may be submitted to the router. Endpoints cannot distinguish two requests with
+// the same id, so that the effect of the second one could be attributed to the first.
+std::optional<rejection_reason> request_session::admission_rejection() {
     request_.id_lease = context_.ids.acquire(request_.id);
     if (!request_.id_lease)
         return rejection_reason::id_in_use;
@@ -183,7 +187,7 @@
 }
 
 close_decision request_session::reject_at_admission(rejection_reason reason) {
-    request_.rejected_for = reason;
+    request_.rejection = reason;
     if (reason == rejection_reason::id_in_use) {
         request_.count_result(request_result::failed);
         return writer_.refuse_malformed(409, {}, "a query with this X-Request-Id is open\n");
@@ -195,8 +199,8 @@
     return writer_.reject(counted_as, request_.max_retry_after());
 }
 
-// Null, or why the request cannot be understood. Where another configuration came into force since it was
-// parsed, it is parsed anew by that one.
+// Returns null, or the fault of the request. If another configuration came into force since the request was
+// parsed, parses it again with that one.
 const char *request_session::submit(const http_head &head, parsed_request &parsed) {
     set_deadlines(parsed);
     while (!context_.routing.submit(request_.handle, parsed.info, request_.settings)) {
@@ -204,7 +208,7 @@
         parsed = parse_request(head, *request_.settings);
         if (parsed.fault != nullptr)
             return parsed.fault;
-        expect_response(parsed);
+        set_request_class(parsed);
         set_deadlines(parsed);
     }
     submitted_ = true;
@@ -213,9 +217,9 @@
 
 void request_session::set_deadlines(parsed_request &parsed) {
     const double upload_time = request_.streams_body ? max_upload_time : 0;
-    const double client_end = request_.received_at + parsed.client_timeout + upload_time;
+    const double client_deadline = request_.received_at + parsed.client_timeout + upload_time;
     request_.client_timeout = parsed.client_timeout;
-    request_.deadline = std::min(client_end, request_.stop_deadline());
+    request_.deadline = std::min(client_deadline, request_.stop_deadline());
     request_.response_stall_limit = request_.class_settings().latency_objective * response_stall_share;
     parsed.info.streams_body = request_.streams_body;
     parsed.info.deadline = request_.deadline;
@@ -223,15 +227,15 @@
 
 close_decision request_session::route(http_reader &message) {
     auto &routing = context_.routing;
-    buffer_pool::buffer_handle response_buffer; // from the first attempt on
+    buffer_pool::buffer_handle response_buffer; // acquired for the first attempt
     for (;;) {
         const routing_decision decision = routing.next_decision(request_.handle);
-        const auto kind = decision.kind_of;
-        if (kind == routing_decision::kind::reject || kind == routing_decision::kind::fail)
-            return conclude(decision);
-        if (routing.now() >= request_.client_deadline() + final_decision_margin)
-            return expire();
-        if (kind == routing_decision::kind::queued) {
+        const auto type = decision.type;
+        if (type == decision_type::reject || type == decision_type::fail)
+            return finish_without_endpoint_response(decision);
+        if (routing.now() >= request_.effective_deadline() + final_decision_margin)
+            return handle_expired_deadline();
+        if (type == decision_type::queued) {
             if (wait_in_queue())
                 continue;
             return close_reason::client_left;
@@ -241,13 +245,13 @@
         http_reader response(whole_buffer(response_buffer), http_reader::message_kind::response);
         const attempt_result result = attempt(decision, message, response);
         if (result.response_forwarded)
-            return conclude_forwarded(result);
+            return finish_forwarded(result);
         report(result, response);
         if (request_.client_has_left() && routing.is_released(request_.handle))
             return close_reason::client_left;
-        if (request_.guard.was_violated())
+        if (request_.guard.step_was_refused())
             return abandon_and_respond(request_.guard.possibly_executed(), rejection_reason::invariant);
-        // What has been forwarded of a long body cannot be sent again, so that there is no retry.
+        // The forwarded part of a long body is no longer available, so that the request cannot be retried.
         const bool body_is_lost = request_.streams_body && message.released_bytes() > 0;
         if (body_is_lost && result.result != outcome::completed)
             return abandon_and_respond(request_.counted_as_active && !known_not_executed(result.result));
@@ -256,34 +260,35 @@
     }
 }
 
-// The router's final decision without an endpoint's response.
-close_decision request_session::conclude(const routing_decision &decision) {
+// Applies the router's decision to reject or fail the request.
+close_decision request_session::finish_without_endpoint_response(const routing_decision &decision) {
     auto &routing = context_.routing;
-    if (!routing.is_released(request_.handle)) // about to be sent, or in flight and given up
+    if (!routing.is_released(request_.handle)) // its attempt is about to be sent, or was abandoned in flight
         routing.request_finished(request_.handle, outcome::canceled);
     if (request_.client_has_left())
         return close_reason::client_left;
-    if (decision.kind_of == routing_decision::kind::reject) {
-        request_.rejected_for = rejection_reason::rejected_by_router;
+    if (decision.type == decision_type::reject) {
+        request_.rejection = rejection_reason::rejected_by_router;
         return writer_.reject(counter::rejected, decision.retry_after);
     }
-    request_.rejected_for = rejection_reason::failed_by_router;
-    const bool in_time = routing.now() < request_.deadline - gateway_timeout_margin;
-    return writer_.fail(in_time ? 502 : 504);
+    request_.rejection = rejection_reason::failed_by_router;
+    const bool has_time_left = routing.now() < request_.deadline - gateway_timeout_margin;
+    return writer_.fail(has_time_left ? 502 : 504);
 }
 
-// The deadline passed, the client's or a planned stop's, and the router gave no final decision.
-close_decision request_session::expire() {
+// Ends a request past its deadline, the client's or a planned stop's, on which the router made no final
+// decision.
+close_decision request_session::handle_expired_deadline() {
     request_.abandon();
     const bool stopping = context_.routing.now() >= request_.stop_deadline();
-    request_.rejected_for = stopping ? rejection_reason::stopping : rejection_reason::out_of_time;
+    request_.rejection = stopping ? rejection_reason::stopping : rejection_reason::out_of_time;
     return writer_.reject_or_fail(request_.guard.possibly_executed(), 504);
 }
 
-// False: the client has left.
+// Returns false if the client disconnected.
 bool request_session::wait_in_queue() {
     pollfd hangup{client_.socket.get(), POLLRDHUP, 0};
-    const double time_left = request_.client_deadline() + final_decision_margin - context_.routing.now();
+    const double time_left = request_.effective_deadline() + final_decision_margin - context_.routing.now();
     if (wait_on({&hangup, 1}, std::min(missed_wakeup_limit, time_left)) <= 0)
         return true;
     request_.on_client_left();
@@ -305,13 +310,14 @@
         context_.routing.attempt_finished(request_.handle, result.result, is_cache_miss(response.head()));
 }
 
-// The client has the response, or its beginning; what is missing shows.
-close_decision request_session::conclude_forwarded(const attempt_result &result) {
+// Finishes a request whose response, or the beginning of it, was forwarded. Closing the connection shows the
+// client that the rest is missing.
+close_decision request_session::finish_forwarded(const attempt_result &result) {
     context_.routing.request_finished(request_.handle, result.result);
-    const bool whole = result.result == outcome::completed && !result.response_truncated;
-    request_.count_result(whole ? request_result::succeeded : request_result::failed);
-    context_.counts.add(whole ? counter::completed : counter::aborted);
-    if (!whole)
+    const bool is_complete = result.result == outcome::completed && !result.response_truncated;
+    request_.count_result(is_complete ? request_result::succeeded : request_result::failed);
+    context_.counts.add(is_complete ? counter::completed : counter::aborted);
+    if (!is_complete)
         return close_reason::response_not_delivered;
     return writer_.decide_after_forwarding();
 }
@@ -321,13 +327,13 @@
     request_.abandon();
     if (request_.client_has_left())
         return close_reason::client_left;
-    request_.rejected_for = reason;
+    request_.rejection = reason;
     return writer_.reject_or_fail(possibly_executed, 502);
 }
 
 void request_session::fail(rejection_reason reason) {
     if (writer_.respond_to_internal_error())
-        request_.rejected_for = reason;
+        request_.rejection = reason;
 }
 
 void request_session::log_end(close_decision decision) const {
@@ -342,13 +348,13 @@
                        " took=", was_read ? now - request_.received_at : 0,
                        " left=", request_.deadline > 0 ? request_.deadline - now : 0,
                        " stopping-for=", context_.time_since_stop(),
-                       " refused-for=", request_.rejected_for ? log_text(*request_.rejected_for) : "-",
+                       " refused-for=", request_.rejection ? log_text(*request_.rejection) : "-",
                        " connection=", decision ? log_text(*decision) : "kept",
                        was_read && !has_response ? " unanswered=1" : "");
 }
 
-// Serves the request and releases what it holds, its buffer too.
-close_decision serve_one(proxy_context &context, client_connection &client) {
+// Serves a request and releases its resources, including its buffer.
+close_decision serve_and_log(proxy_context &context, client_connection &client) {
     request_session session(context, client);
     close_decision decision;
     try {
@@ -368,11 +374,11 @@
 } // namespace
 
 close_decision serve_request(proxy_context &context, client_connection &client) {
-    const close_decision decision = serve_one(context, client);
+    const close_decision decision = serve_and_log(context, client);
     if (!decision)
         return decision;
-    // The process has to be gone, by itself, before a planned stop's kill.
-    const double until_stop = std::max(0.0, context.respond_by + stop_linger - context.routing.now());
+    // During a planned stop the process must exit by itself before it is killed.
+    const double until_stop = std::max(0.0, context.respond_by + stop_lingering_time - context.routing.now());
     if (client.lingering.max_bytes > 0)
         close_gracefully(client.socket, std::min(client.lingering.limit, until_stop),
                          client.lingering.max_bytes);
--- a/src/proxy/request/upstream_attempt.cpp
+++ b/src/proxy/request/upstream_attempt.cpp
@@ -14,10 +14,12 @@
 
 using std::string_view;
 
-constexpr double connect_margin = 0.05; // s before the client's deadline in which no connect goes on
-// A response of unknown length is streamed from so many bytes on ...
-constexpr std::size_t streamed_size = 16384;
-constexpr double streamed_time = 0.1; // ... or s since its head came, if it goes on
+// Seconds before the deadline at which a connect ends.
+constexpr double connect_margin = 0.05;
+// A response of unknown length is streamed once its body has this many bytes, or has any bytes and its head
+// arrived this many seconds ago.
+constexpr std::size_t streaming_threshold = 16384;
+constexpr double streaming_delay = 0.1;
 
 // The counters of attempts, by outcome.
 constexpr std::array<counter, 9> attempt_counters = {
@@ -41,12 +43,12 @@
     return result;
 }
 
-// Nothing interrupts a connect, so its limit leaves time for the response; one that this limit cut short says
-// nothing of the endpoint, and neither does a shortage on this machine.
+// A connect cannot be interrupted, so its timeout leaves time for the proxy's response. A connect that ends
+// for this timeout or for a lack of resources on this machine is no evidence about the endpoint.
 attempt_result upstream_attempt::connect() {
     const attempt_result client_left = {outcome::discarded_unread, upstream_close_reason::client_left};
     auto &routing = context_.routing;
-    const double deadline = request_.client_deadline() - connect_margin;
+    const double deadline = request_.effective_deadline() - connect_margin;
     if (request_.detect_client_left())
         return client_left;
     connection_ = context_.upstreams.acquire(decision_.endpoint, routing.now(), deadline - routing.now());
@@ -69,20 +71,20 @@
     const std::string head_text = forwarded_request(message_, time_left, !request_.streams_body);
     string_view head = head_text;
     string_view body = request_.streams_body ? string_view{} : message_.body();
-    first_write first;
-    const bool enabled = context_.upstreams.unless_disabled(
-        decision_.endpoint, [&] { first = begin_write(head, body, time_left); });
-    if (first.status) {
+    first_write write;
+    const bool enabled = context_.upstreams.write_unless_disabled(
+        decision_.endpoint, [&] { write = begin_write(head, body, time_left); });
+    if (write.status) {
         context_.counts.add(counter::attempts_sent);
         ++request_.attempts;
         ++connection_.attempts;
     }
     if (!enabled)
         return {outcome::discarded_unread, upstream_close_reason::disabled};
-    if (!first.status)
+    if (!write.status)
         return {outcome::discarded_unread, upstream_close_reason::outdated, request_has_ended()};
-    if (first.status == io_status::failed ||
-        !write_all(connection_.socket, head, body, first.deadline - context_.routing.now()))
+    if (write.status == io_status::failed ||
+        !write_all(connection_.socket, head, body, write.deadline - context_.routing.now()))
         return {outcome::connect_error, upstream_close_reason::write_failed};
     if (request_.streams_body)
         return body_upload(request_).run(connection_.socket, message_);
@@ -90,45 +92,45 @@
     return {outcome::timed_out, upstream_close_reason::timed_out};
 }
 
-// The decision may have changed while the connect went on: it is asked for again right before the first byte.
+// The router's decision may have changed during the connect, so it is checked right before the first byte.
 upstream_attempt::first_write upstream_attempt::begin_write(string_view &head, string_view &body,
                                                             double time_left) {
-    first_write first;
-    first.deadline =
-        std::min(context_.routing.attempt_write_deadline(request_.handle), request_.client_deadline());
+    first_write write;
+    write.deadline =
+        std::min(context_.routing.attempt_write_deadline(request_.handle), request_.effective_deadline());
     const double now = context_.routing.now();
-    if (now < first.deadline && request_.guard.may_start_attempt(now, time_left))
-        first.status = write_some(connection_.socket, head, body).status;
-    return first;
+    if (now < write.deadline && request_.guard.may_start_attempt(now, time_left))
+        write.status = write_some(connection_.socket, head, body).status;
+    return write;
 }
 
 attempt_result upstream_attempt::await_response() {
     last_received_at_ = context_.routing.now();
     for (;;) {
-        // Checked before each wait: a wake-up may have ended a wait of the writing, too.
-        if (const auto ended = ended_while_waiting())
-            return *ended;
+        // Checked before each wait, as a wake-up may have interrupted an earlier wait while writing.
+        if (const auto result = result_if_ended())
+            return *result;
         const double time_left =
-            std::min(request_.client_deadline() - context_.routing.now(), time_until_stalled());
+            std::min(request_.effective_deadline() - context_.routing.now(), time_until_stalled());
         if (!wait_for_response(time_left))
             continue;
         const auto state = read_available(response_, connection_.socket);
         last_received_at_ = context_.routing.now();
         if (!response_head_at_ && response_.has_head())
             response_head_at_ = last_received_at_;
-        if (is_long(state))
+        if (must_stream(state))
             return forward_response();
         if (state != http_reader::state::incomplete)
             return result_of(state);
     }
 }
 
-std::optional<attempt_result> upstream_attempt::ended_while_waiting() {
+std::optional<attempt_result> upstream_attempt::result_if_ended() {
     const routing_decision decision = context_.routing.next_decision(request_.handle);
-    const bool request_ended = decision.kind_of != routing_decision::kind::attempt_running;
+    const bool request_ended = decision.type != decision_type::attempt_running;
     if (decision.cancel)
         return attempt_result{outcome::canceled, upstream_close_reason::canceled, request_ended};
-    if (request_ended || request_.client_deadline() <= context_.routing.now())
+    if (request_ended || request_.effective_deadline() <= context_.routing.now())
         return attempt_result{outcome::timed_out, upstream_close_reason::timed_out, request_ended};
     if (time_until_stalled() > 0)
         return std::nullopt;
@@ -136,16 +138,16 @@
     return attempt_result{outcome::error, upstream_close_reason::stalled};
 }
 
-// Half a response and then silence is no dead endpoint, but a response whose length is wrong. Before the
-// first byte there is no such limit.
+// A response that stalls half way indicates a wrong length rather than a dead endpoint. The limit applies
+// from the first byte on.
 double upstream_attempt::time_until_stalled() const {
     if (!response_.has_begun())
         return forever;
     return last_received_at_ + request_.response_stall_limit - context_.routing.now();
 }
 
-// An attempt goes on when its client leaves, so that the router's count of what is in flight at the endpoint
-// stays right.
+// An attempt continues after its client disconnected, so that the router's count of the attempts in flight at
+// the endpoint stays correct.
 bool upstream_attempt::wait_for_response(double time_left) {
     std::array<pollfd, 2> sockets = {
         {{connection_.socket.get(), POLLIN, 0}, {request_.client.socket.get(), POLLRDHUP, 0}}};
@@ -164,15 +166,15 @@
     }
     case http_reader::state::truncated:
         return {outcome::reset, upstream_close_reason::reset};
-    case http_reader::state::window_full: // an error's text, or a response that nobody waits for
+    case http_reader::state::window_full: // the body of an error, or a response whose client disconnected
         return {outcome_of(response_.head(), false), upstream_close_reason::error_text_too_long};
-    default: // the endpoint did respond: it is not held to be dead
+    default: // the endpoint responded, so it counts as alive
         context_.counts.add(counter::attempts_malformed);
         return {outcome::error, upstream_close_reason::malformed_response};
     }
 }
 
-bool upstream_attempt::is_long(http_reader::state state) const {
+bool upstream_attempt::must_stream(http_reader::state state) const {
     const bool window_full = state == http_reader::state::window_full;
     if (!window_full && state != http_reader::state::incomplete)
         return false;
@@ -183,8 +185,8 @@
     if (const auto length = response_.content_length())
         return *length > max_body_size;
     const std::size_t received = response_.body().size();
-    return received >= streamed_size ||
-           (received > 0 && context_.routing.now() > response_head_at_.value_or(0) + streamed_time);
+    return received >= streaming_threshold ||
+           (received > 0 && context_.routing.now() > response_head_at_.value_or(0) + streaming_delay);
 }
 
 attempt_result upstream_attempt::forward_response() {
@@ -216,7 +218,7 @@
 }
 
 bool upstream_attempt::request_has_ended() {
-    return context_.routing.next_decision(request_.handle).kind_of != routing_decision::kind::attempt_running;
+    return context_.routing.next_decision(request_.handle).type != decision_type::attempt_running;
 }
 
 void upstream_attempt::log_end(const attempt_result &result) const {
@@ -239,8 +241,8 @@
         upstreams.release(std::move(connection_), now);
         return;
     }
-    // What is idle at a silent endpoint is likely as dead. Where a process died, its other connections show
-    // it themselves.
+    // The idle connections to an unresponsive endpoint are probably dead as well. A process that died closes
+    // its other connections itself.
     if (result.result == outcome::canceled)
         upstreams.close_idle_of(decision_.endpoint, now, upstream_close_reason::suspect);
     const auto reason = result.reason.value_or(upstream_close_reason::closed_by_endpoint);
--- a/src/proxy/request/upstream_attempt.hpp
+++ b/src/proxy/request/upstream_attempt.hpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-// One attempt of a request at the endpoint that the router chose: connect, send, await the response. Whatever
-// fails before the last byte of the request is written was not executed; after that it may have been.
+// One attempt of a request at the endpoint that the router chose: connects, sends the request, awaits the
+// response. An attempt that fails before the last byte of the request is written was not executed; after that
+// it may have been.
 #pragma once
 
 #include "net/http.hpp"
@@ -13,10 +14,10 @@
 
 namespace harrierpass::proxy {
 
-// One attempt, in the thread of its request's connection. Run once.
+// One attempt, in the thread of the client's connection; run() is called once.
 class upstream_attempt {
 public:
-    // `message` is the request as it was read; the response goes to `response`, which is fresh.
+    // `message` contains the request; `response` is an empty reader, which receives the response.
     upstream_attempt(active_request &request, response_writer &writer, const routing_decision &decision,
                      http_reader &message, http_reader &response)
         : request_(request), context_(request.context), writer_(writer), decision_(decision),
@@ -26,36 +27,38 @@
     attempt_result run();
 
 private:
-    // What the first write came to, which is made only where the decision still holds.
+    // Result of the first write, which is made only while the router's decision is still valid.
     struct first_write {
-        std::optional<io_status> status; // empty: it was not made
-        double deadline = 0;             // Unix time, s, for the last byte
+        std::optional<io_status> status; // empty: nothing was written
+        double deadline = 0;             // for the last byte; Unix time in seconds
     };
 
-    // Acquires a connection; without one afterwards, the result says why.
+    // Acquires a connection. If there is none afterwards, the result is the reason.
     attempt_result connect();
-    // Writes the request. A result of timed_out means that the response is to be awaited.
+    // Writes the request. The result timed_out means that the response is still awaited.
     attempt_result send();
-    // Checks the decision once more and makes the first write, which does not wait; what was written is taken
-    // off `head` and `body`. `time_left`: s, as the endpoint is told.
+    // Checks the decision again and makes the first write, which does not block; removes the written bytes
+    // from `head` and `body`. `time_left`: seconds that the endpoint is given.
     first_write begin_write(std::string_view &head, std::string_view &body, double time_left);
-    // Reads the response until it is complete, is forwarded, or is given up.
+    // Reads the response until it is complete, forwarded or abandoned.
     attempt_result await_response();
-    // The result where the attempt was cancelled or is out of time; empty: the wait goes on.
-    std::optional<attempt_result> ended_while_waiting();
-    // Waits a while for the response; whether there is something to read. Notices a client that leaves.
+    // Returns the result if the attempt was canceled, is past its deadline or has stalled; empty: it waits
+    // on.
+    std::optional<attempt_result> result_if_ended();
+    // Waits for at most `time_left` seconds; returns whether there are bytes to read. Detects that the client
+    // disconnected.
     bool wait_for_response(double time_left);
-    // The result of a response that was read, or broke, in this state.
+    // Returns the result for a reader that ended in this state.
     attempt_result result_of(http_reader::state state);
-    // Whether the response is forwarded as it comes, instead of being held complete.
-    bool is_long(http_reader::state state) const;
-    // Forwards a long response to the client.
+    // Returns whether the response has to be forwarded while it arrives, instead of being buffered.
+    bool must_stream(http_reader::state state) const;
+    // Forwards the response to the client while it arrives.
     attempt_result forward_response();
-    // Whether the router has made its final decision on the request.
+    // Returns whether the router has made its final decision on the request.
     bool request_has_ended();
-    // s until a response that has begun and does not go on is given up.
+    // Returns the seconds until a response without progress counts as stalled.
     double time_until_stalled() const;
-    // Writes the attempt's line of the log.
+    // Logs the end of the attempt.
     void log_end(const attempt_result &result) const;
     // Releases the connection for reuse, or closes it.
     void end_connection(const attempt_result &result);
@@ -67,8 +70,8 @@
     http_reader &message_;
     http_reader &response_;
     upstream_connection connection_;
-    double last_received_at_ = 0;            // when the response last went on; Unix time, s
-    std::optional<double> response_head_at_; // when its head was there; Unix time, s
+    double last_received_at_ = 0;            // last progress of the response; Unix time in seconds
+    std::optional<double> response_head_at_; // arrival of the head; Unix time in seconds
 };
 
 } // namespace harrierpass::proxy
--- a/src/proxy/service.cpp
+++ b/src/proxy/service.cpp
@@ -273,7 +273,7 @@
     wake_thread(acceptor_thread_->id());
     acceptor_thread_.reset(); // joined once every request has its answer
     if (context_.ids.size() > 0)
-        context_.invariants.violated(invariant::nothing_left_at_end, "-");
+        context_.invariants.report_violation(invariant::nothing_left_at_end, "-");
     over_ = true;
     wake_thread(discovery_thread_->id());
     discovery_thread_.reset();
--- a/src/proxy/upstream/health_checker.cpp
+++ b/src/proxy/upstream/health_checker.cpp
@@ -12,8 +12,8 @@
 namespace harrierpass::proxy {
 namespace {
 
-constexpr double response_limit = 2; // connect timeouts, within which a check has its response
-constexpr int max_in_flight = 16;    // checks; a lost zone has many endpoints, and descriptors are few
+constexpr double response_timeout_factor = 2; // timeout of a response, in connect timeouts
+constexpr int max_checks_in_flight = 16;      // a failed zone has many endpoints; descriptors are scarce
 constexpr std::string_view health_check_request = "GET /ping HTTP/1.1\r\nHost: probe\r\n\r\n";
 
 } // namespace
@@ -23,9 +23,9 @@
         std::this_thread::sleep_for(std::chrono::milliseconds(1));
 }
 
-// A check that cannot be made is reported as not made, so that the router asks for it again.
+// A check that cannot be made is reported as not made, so that the router requests it again.
 void health_checker::start(endpoint_index endpoint) {
-    const auto run = [this, endpoint] {
+    const auto check_and_report = [this, endpoint] {
         check_result is_healthy;
         try {
             is_healthy = check(endpoint);
@@ -33,28 +33,27 @@
         }
         report(endpoint, is_healthy);
     };
-    if (in_flight_.fetch_add(1) >= max_in_flight || !start_detached(run))
+    if (in_flight_.fetch_add(1) >= max_checks_in_flight || !start_detached(check_and_report))
         report(endpoint, {});
 }
 
 void health_checker::report(endpoint_index endpoint, check_result is_healthy) {
     try {
         routing_.health_check_finished(endpoint, is_healthy);
-    } catch (const std::bad_alloc &) { // what the router decided waits for its next report
+    } catch (const std::bad_alloc &) { // the next event delivers the router's actions
     }
     in_flight_.fetch_sub(1);
 }
 
-// Not on an idle connection, which could be to the process before the present one.
+// Uses a new connection, as an idle one could belong to an earlier process of the endpoint.
 health_checker::check_result health_checker::check(endpoint_index endpoint) {
     upstream_connection connection = upstreams_.connect_new(endpoint, routing_.now());
     std::string_view unsent = health_check_request;
     std::string_view no_body;
-    // An operator may have disabled the endpoint while the connection came up.
-    const bool enabled = upstreams_.unless_disabled(endpoint, [&] {
+    // An operator may have disabled the endpoint during the connect.
+    const bool enabled = upstreams_.write_unless_disabled(endpoint, [&] {
         if (connection.socket)
-            static_cast<void>(
-                write_some(connection.socket, unsent, no_body)); // where it breaks, so does the exchange
+            static_cast<void>(write_some(connection.socket, unsent, no_body)); // exchange() detects a failure
     });
     if (!enabled) {
         if (connection.socket)
@@ -75,8 +74,8 @@
 bool health_checker::exchange(upstream_connection connection, std::string_view unsent) {
     const auto buffer = buffers_.acquire();
     http_reader response(whole_buffer(buffer), http_reader::message_kind::response);
-    const double limit = response_limit * routing_.configuration_in_force()->connect_timeout;
-    const bool is_complete = http_call(connection.socket, unsent, response, limit);
+    const double timeout = response_timeout_factor * routing_.configuration_in_force()->connect_timeout;
+    const bool is_complete = http_call(connection.socket, unsent, response, timeout);
     const bool is_healthy = is_complete && response.head().status == 200;
     if (is_healthy)
         counters_.add(counter::health_checks_answered);
--- a/src/proxy/upstream/health_checker.hpp
+++ b/src/proxy/upstream/health_checker.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Health checks of endpoints, as the router asks for them: each on a new connection and in a short thread of
+// Health checks of endpoints on request of the router. Each uses a new connection and a short-lived thread of
 // its own.
 #pragma once
 
@@ -14,37 +14,37 @@
 
 namespace harrierpass::proxy {
 
-// Starts health checks from any thread, a bounded number at a time.
+// Starts health checks; any thread may call it. The number of checks in flight is bounded.
 class health_checker {
 public:
-    // All four have to outlive it.
-    health_checker(dispatcher &routing, upstream_pool &upstreams, buffer_pool &buffers, counters &count)
-        : routing_(routing), upstreams_(upstreams), buffers_(buffers), counters_(count) {}
-    // Waits for the checks that are in flight.
+    // All arguments must outlive the checker.
+    health_checker(dispatcher &routing, upstream_pool &upstreams, buffer_pool &buffers, counters &counts)
+        : routing_(routing), upstreams_(upstreams), buffers_(buffers), counters_(counts) {}
+    // Waits for the checks in flight.
     ~health_checker();
     health_checker(const health_checker &) = delete;
     health_checker &operator=(const health_checker &) = delete;
 
-    // Starts a check of the endpoint. Its result goes to the dispatcher, always.
+    // Starts a check of the endpoint. Its result is always reported to the dispatcher.
     void start(endpoint_index endpoint);
 
 private:
-    // What a check found; empty: it was not made, which says nothing of the endpoint.
+    // Whether the endpoint is healthy; empty: the check was not made.
     using check_result = std::optional<bool>;
 
-    // Makes one check, in its own thread.
+    // Makes one check in the calling thread.
     check_result check(endpoint_index endpoint);
-    // Writes what is unsent of the request and reads the response; whether the endpoint is healthy, which a
-    // 200 says.
+    // Writes the unsent rest of the request and reads the response. Returns whether the endpoint is healthy,
+    // which it reports with status 200.
     bool exchange(upstream_connection connection, std::string_view unsent);
-    // Reports the result to the dispatcher; the check is over.
+    // Reports the result to the dispatcher and ends the check.
     void report(endpoint_index endpoint, check_result is_healthy);
 
     dispatcher &routing_;
     upstream_pool &upstreams_;
     buffer_pool &buffers_;
     counters &counters_;
-    std::atomic<int> in_flight_ = 0; // checks started and not reported
+    std::atomic<int> in_flight_ = 0; // checks that are started but not reported
 };
 
 } // namespace harrierpass::proxy
--- a/src/proxy/upstream/upstream_pool.cpp
+++ b/src/proxy/upstream/upstream_pool.cpp
@@ -9,29 +9,30 @@
 namespace harrierpass::proxy {
 namespace {
 
-constexpr double settling_time = 0.005; // s after a response within which a close by the endpoint would show
+// Seconds after a response within which a close by the endpoint is detected.
+constexpr double close_detection_delay = 0.005;
 
 } // namespace
 
 void upstream_pool::set_endpoint(endpoint_index endpoint, std::string_view id, std::string_view host_port,
                                  double started_at, double now) {
-    const auto where = parse_address(host_port);
-    if (!where)
-        log_.warning("server ", id, " has no usable address: ", host_port);
-    bool is_same = false;
+    const auto remote_address = parse_address(host_port);
+    if (!remote_address)
+        log_.warning("endpoint ", id, " has no usable address: ", host_port);
+    bool same_id = false;
     {
-        const std::lock_guard hold(lock_);
+        const std::lock_guard guard(lock_);
         if (endpoint.value() >= endpoints_.size())
             endpoints_.resize(std::size_t{endpoint.value()} + 1);
-        is_same = endpoints_[endpoint.value()].id == id;
+        same_id = endpoints_[endpoint.value()].id == id;
     }
-    // No request for the new endpoint may be written on a connection to the old one.
-    if (!is_same)
+    // Closes the connections to the old endpoint, on which no request for the new one may be written.
+    if (!same_id)
         close_idle_of(endpoint, now, upstream_close_reason::endpoint_removed);
-    const std::lock_guard hold(lock_);
+    const std::lock_guard guard(lock_);
     auto &slot = endpoints_[endpoint.value()];
     slot.id = id;
-    slot.where = where;
+    slot.remote_address = remote_address;
     slot.started_at = started_at;
 }
 
@@ -42,23 +43,23 @@
 }
 
 std::size_t upstream_pool::open_connections() {
-    const std::lock_guard hold(lock_);
+    const std::lock_guard guard(lock_);
     return open_ + client_connections_;
 }
 
 void upstream_pool::set_disabled(endpoint_index endpoint, bool disabled) {
-    const std::unique_lock no_writes(disabled_lock_);
+    const std::unique_lock guard(disabled_lock_);
     if (disabled)
         disabled_.insert(endpoint);
     else
         disabled_.erase(endpoint);
 }
 
-void upstream_pool::reserve_for_clients(std::size_t count, double now) {
+void upstream_pool::reserve_for_clients(std::size_t connections, double now) {
     bool over_capacity = false;
     {
-        const std::lock_guard hold(lock_);
-        client_connections_ = count;
+        const std::lock_guard guard(lock_);
+        client_connections_ = connections;
         over_capacity = open_ + client_connections_ > capacity_;
     }
     if (over_capacity)
@@ -66,12 +67,12 @@
 }
 
 std::string upstream_pool::id_of(endpoint_index endpoint) {
-    const std::lock_guard hold(lock_);
+    const std::lock_guard guard(lock_);
     return endpoints_.at(endpoint.value()).id;
 }
 
-// A connection that may have ended, or is to a process before the present one, would break under the request
-// that is written to it, and nobody could tell whether that was executed.
+// A connection that may be closed, or that belongs to an earlier process of the endpoint, could break while a
+// request is written, and it would be unknown whether the request was executed.
 bool upstream_pool::is_stale(const upstream_connection &connection, const endpoint_slot &slot,
                              double now) const {
     const double idle_time = now - connection.last_used_at;
@@ -79,45 +80,47 @@
            peek(connection.socket) != peek_result::empty;
 }
 
-upstream_connection upstream_pool::acquire(endpoint_index endpoint, double now, double limit) {
+upstream_connection upstream_pool::acquire(endpoint_index endpoint, double now, double max_wait) {
     auto idle = take_idle(endpoint, now);
     if (!idle)
-        return connect_new(endpoint, now, limit);
+        return connect_new(endpoint, now, max_wait);
     idle->idle_time = now - idle->last_used_at;
     counters_.add(counter::upstream_connections_reused);
     return std::move(*idle);
 }
 
-// An endpoint may close its connections right after a response. So the latest connection is taken that has
-// been idle long enough to show it, else the one that has been idle longest.
+// An endpoint may close its connections right after a response. Selects the most recently used connection
+// that has been idle long enough for such a close to be detected; if there is none, the one idle longest.
 std::optional<upstream_connection> upstream_pool::take_idle(endpoint_index endpoint, double now) {
     std::vector<closing_connection> stale;
-    std::optional<upstream_connection> found;
+    std::optional<upstream_connection> reusable;
     {
-        const std::lock_guard hold(lock_);
+        const std::lock_guard guard(lock_);
         auto &slot = endpoints_.at(endpoint.value());
-        while (!slot.idle.empty() && !found) {
-            const auto settled = std::find_if(slot.idle.rbegin(), slot.idle.rend(), [&](const auto &each) {
-                return now - each.last_used_at >= settling_time;
-            });
-            const auto chosen = settled == slot.idle.rend() ? slot.idle.begin() : std::prev(settled.base());
-            if (is_stale(*chosen, slot, now))
-                stale.push_back({std::move(*chosen), upstream_close_reason::stale});
+        while (!slot.idle.empty() && !reusable) {
+            const auto settled =
+                std::find_if(slot.idle.rbegin(), slot.idle.rend(), [&](const auto &connection) {
+                    return now - connection.last_used_at >= close_detection_delay;
+                });
+            const auto candidate =
+                settled == slot.idle.rend() ? slot.idle.begin() : std::prev(settled.base());
+            if (is_stale(*candidate, slot, now))
+                stale.push_back({std::move(*candidate), upstream_close_reason::stale});
             else
-                found = std::move(*chosen);
-            slot.idle.erase(chosen);
+                reusable = std::move(*candidate);
+            slot.idle.erase(candidate);
         }
     }
     close_all(stale, now);
-    return found;
+    return reusable;
 }
 
-upstream_connection upstream_pool::connect_new(endpoint_index endpoint, double now, double limit) {
-    std::optional<address> where;
+upstream_connection upstream_pool::connect_new(endpoint_index endpoint, double now, double max_wait) {
+    std::optional<address> remote_address;
     bool over_capacity = false;
     {
-        const std::lock_guard hold(lock_);
-        where = endpoints_.at(endpoint.value()).where;
+        const std::lock_guard guard(lock_);
+        remote_address = endpoints_.at(endpoint.value()).remote_address;
         ++open_;
         over_capacity = open_ + client_connections_ > capacity_;
     }
@@ -127,11 +130,11 @@
     connection.endpoint = endpoint;
     connection.connected_at = connection.last_used_at = now;
     counters_.add(counter::upstream_connects);
-    if (!where) {
+    if (!remote_address) {
         connect_failed(endpoint, "no address");
         return connection;
     }
-    connection.socket = connect(*where, std::min(connect_timeout_.load(), limit), now);
+    connection.socket = connect(*remote_address, std::min(connect_timeout_.load(), max_wait), now);
     if (!connection.socket) {
         const int error = errno;
         connection.local_shortage = is_local_shortage(error);
@@ -140,24 +143,24 @@
     return connection;
 }
 
-// Tries once more where an idle connection could be closed to end a shortage on this machine.
-tcp_socket upstream_pool::connect(const address &where, double limit, double now) {
-    tcp_socket socket = dial(where, limit);
+// Retries once if this machine lacks resources and an idle connection could be closed to free some.
+tcp_socket upstream_pool::connect(const address &remote_address, double timeout, double now) {
+    tcp_socket socket = dial(remote_address, timeout);
     if (!socket && is_local_shortage(errno) && close_oldest_idle(now))
-        socket = dial(where, limit);
+        socket = dial(remote_address, timeout);
     return socket;
 }
 
 void upstream_pool::connect_failed(endpoint_index endpoint, const char *error) {
     counters_.add(counter::upstream_connects_failed);
-    const std::lock_guard hold(lock_);
+    const std::lock_guard guard(lock_);
     --open_;
     log_.debug("server-dial-failed server=", endpoints_[endpoint.value()].id, " error=", error);
 }
 
 void upstream_pool::release(upstream_connection connection, double now) {
     connection.last_used_at = now;
-    const std::lock_guard hold(lock_);
+    const std::lock_guard guard(lock_);
     endpoints_.at(connection.endpoint.value()).idle.push_back(std::move(connection));
 }
 
@@ -171,10 +174,10 @@
 void upstream_pool::close_idle_of(endpoint_index endpoint, double now, upstream_close_reason reason) {
     std::vector<closing_connection> closing;
     {
-        const std::lock_guard hold(lock_);
+        const std::lock_guard guard(lock_);
         auto &idle = endpoints_.at(endpoint.value()).idle;
-        for (auto &each : idle)
-            closing.push_back({std::move(each), reason});
+        for (auto &connection : idle)
+            closing.push_back({std::move(connection), reason});
         idle.clear();
     }
     close_all(closing, now);
@@ -183,7 +186,7 @@
 void upstream_pool::close_stale(double now) {
     std::vector<closing_connection> closing;
     {
-        const std::lock_guard hold(lock_);
+        const std::lock_guard guard(lock_);
         for (auto &slot : endpoints_)
             while (!slot.idle.empty() && is_stale(slot.idle.front(), slot, now)) {
                 closing.push_back({std::move(slot.idle.front()), upstream_close_reason::stale});
@@ -196,7 +199,7 @@
 bool upstream_pool::close_oldest_idle(double now) {
     std::vector<closing_connection> closing;
     {
-        const std::lock_guard hold(lock_);
+        const std::lock_guard guard(lock_);
         endpoint_slot *oldest = nullptr;
         for (auto &slot : endpoints_) {
             if (slot.idle.empty())
@@ -213,11 +216,11 @@
     return !closing.empty();
 }
 
-void upstream_pool::close_all(std::vector<closing_connection> &closing, double now) {
-    for (auto &[connection, reason] : closing) {
+void upstream_pool::close_all(std::vector<closing_connection> &connections, double now) {
+    for (auto &[connection, reason] : connections) {
         std::string id;
         {
-            const std::lock_guard hold(lock_);
+            const std::lock_guard guard(lock_);
             --open_;
             id = endpoints_[connection.endpoint.value()].id;
         }
--- a/src/proxy/upstream/upstream_pool.hpp
+++ b/src/proxy/upstream/upstream_pool.hpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-// Where the endpoints are, and the idle connections to them that are kept for the next attempt. All functions
-// may be called by several threads. Times are Unix times in seconds; an endpoint is named by the router's
-// index.
+// The addresses of the endpoints, and the idle connections to them that are kept for later attempts. Every
+// function may be called from any thread. Times are Unix times in seconds; endpoints are identified by the
+// router's indices.
 #pragma once
 
 #include "base/counters.hpp"
@@ -23,98 +23,102 @@
 
 namespace harrierpass::proxy {
 
-// A connection to an endpoint, owned by the attempt that uses it or by the pool. Times are Unix times, s.
+// A connection to an endpoint, owned by the attempt that uses it or by the pool. Times are Unix times in
+// seconds.
 struct upstream_connection {
-    tcp_socket socket; // empty: no connection came up
+    tcp_socket socket; // empty: no connection was established
     endpoint_index endpoint = none;
     double connected_at = 0;
-    double last_used_at = 0;     // when its last response came
-    double idle_time = 0;        // s that it was idle before its present attempt
-    index attempts = 0;          // made on it
-    bool local_shortage = false; // without a socket: for a shortage on this machine
+    double last_used_at = 0;     // arrival of its last response
+    double idle_time = 0;        // seconds that it was idle before its current attempt
+    index attempts = 0;          // attempts made on it
+    bool local_shortage = false; // no socket, because this machine lacks resources
 };
 
 // Owns the idle connections of all endpoints and counts those in use.
 class upstream_pool {
 public:
-    // Limits in seconds. `capacity`: descriptors for clients' connections and for these, in use and idle.
-    upstream_pool(double connect_timeout, double idle_timeout, std::size_t capacity, counters &count,
+    // Timeouts are in seconds. `capacity`: file descriptors for clients' connections and for upstream
+    // connections, both in use and idle.
+    upstream_pool(double connect_timeout, double idle_timeout, std::size_t capacity, counters &counts,
                   log &logger)
         : connect_timeout_(connect_timeout), idle_timeout_(idle_timeout), capacity_(capacity),
-          counters_(count), log_(logger) {}
+          counters_(counts), log_(logger) {}
 
-    // Other limits from now on, s; they hold for connections that are idle, too.
+    // Changes the timeouts, in seconds; applies to connections that are idle already, too.
     void set_timeouts(double connect_timeout, double idle_timeout) {
         connect_timeout_ = connect_timeout;
         idle_timeout_ = idle_timeout;
     }
     // Closes idle connections beyond the new capacity.
     void set_capacity(std::size_t capacity, double now);
-    // How many there are, the clients' included.
+    // Returns the number of open connections, including those of clients.
     std::size_t open_connections();
-    // Clients have so many descriptors now. Closes an idle connection where that makes too many.
-    void reserve_for_clients(std::size_t count, double now);
+    // Sets the number of file descriptors that clients use now. Closes an idle connection if that exceeds the
+    // capacity.
+    void reserve_for_clients(std::size_t connections, double now);
 
-    // Sets where an endpoint is and when its process started. Its index may have been another endpoint's, to
-    // which nothing refers any more.
+    // Sets the address of an endpoint and the start time of its process. The index may have belonged to
+    // another endpoint, which is no longer referenced.
     void set_endpoint(endpoint_index endpoint, std::string_view id, std::string_view host_port,
                       double started_at, double now);
-    // The id of an endpoint that set_endpoint() named.
+    // Returns the id that was passed to set_endpoint().
     std::string id_of(endpoint_index endpoint);
 
-    // When this returns, nothing new is written to a disabled endpoint.
+    // Disables or enables an endpoint. No new request is written to a disabled endpoint after the return.
     void set_disabled(endpoint_index endpoint, bool disabled);
-    // Calls `write`, the first write of an attempt or health check, which must not wait. False, without a
-    // call: the endpoint is disabled.
-    template <typename Write> bool unless_disabled(endpoint_index endpoint, Write write) {
-        const std::shared_lock writing(disabled_lock_);
+    // Calls `write`, the first write of an attempt or health check, which must not block. Returns false
+    // without calling it if the endpoint is disabled.
+    template <typename Write> bool write_unless_disabled(endpoint_index endpoint, Write write) {
+        const std::shared_lock guard(disabled_lock_);
         if (disabled_.contains(endpoint))
             return false;
         write();
         return true;
     }
 
-    // An idle connection or a new one; without a socket where none came up within `limit` seconds or the
-    // connect timeout, whichever is shorter.
-    upstream_connection acquire(endpoint_index endpoint, double now, double limit = forever);
-    // As acquire(), but always a new connection.
-    upstream_connection connect_new(endpoint_index endpoint, double now, double limit = forever);
-    // Gives a connection back for the next attempt.
+    // Returns an idle connection or a new one. It has no socket if none was established within `max_wait`
+    // seconds or the connect timeout, whichever is shorter.
+    upstream_connection acquire(endpoint_index endpoint, double now, double max_wait = forever);
+    // Like acquire(), but always returns a new connection.
+    upstream_connection connect_new(endpoint_index endpoint, double now, double max_wait = forever);
+    // Returns a connection to the pool for later attempts.
     void release(upstream_connection connection, double now);
-    // Closes a connection that was acquired.
+    // Closes an acquired connection.
     void close_connection(upstream_connection connection, double now, upstream_close_reason reason);
 
-    // Closes all that are idle at the endpoint.
+    // Closes all idle connections to the endpoint.
     void close_idle_of(endpoint_index endpoint, double now, upstream_close_reason reason);
-    // Closes the idle ones that cannot be used again.
+    // Closes the idle connections that must not be reused.
     void close_stale(double now);
-    // Closes the connection that has been idle longest, for its descriptor. False: none is idle.
+    // Closes the connection that has been idle longest, to free its file descriptor. Returns false if none is
+    // idle.
     bool close_oldest_idle(double now);
 
 private:
-    // What is known of one endpoint, and its idle connections.
+    // An endpoint and its idle connections.
     struct endpoint_slot {
         std::string id;
-        std::optional<address> where; // empty: the endpoint list names no usable address
+        std::optional<address> remote_address; // empty: the endpoint list has no usable address
         double started_at = 0;
-        std::deque<upstream_connection> idle; // by last_used_at, the latest at the back
+        std::deque<upstream_connection> idle; // in order of last_used_at, latest last
     };
-    // A connection to close once no lock is held.
+    // A connection that is closed after the lock is released.
     struct closing_connection {
         upstream_connection connection;
         upstream_close_reason reason;
     };
 
-    // An idle connection that can be used; closes stale ones on the way.
+    // Returns an idle connection that can be reused; closes the stale ones that it finds first.
     std::optional<upstream_connection> take_idle(endpoint_index endpoint, double now);
-    // Connects within `limit` s; errno tells why there is no socket.
-    tcp_socket connect(const address &where, double limit, double now);
-    // Counts and logs that no connection came up.
+    // Connects within `timeout` seconds. If the socket is empty, errno is the reason.
+    tcp_socket connect(const address &remote_address, double timeout, double now);
+    // Counts and logs that no connection was established.
     void connect_failed(endpoint_index endpoint, const char *error);
-    // Whether an idle connection must not be used again.
+    // Returns whether an idle connection must not be reused.
     bool is_stale(const upstream_connection &connection, const endpoint_slot &slot, double now) const;
-    // Closes and logs connections; the caller holds no lock.
-    void close_all(std::vector<closing_connection> &closing, double now);
+    // Closes and logs the connections. The caller holds no lock.
+    void close_all(std::vector<closing_connection> &connections, double now);
 
     std::atomic<double> connect_timeout_;
     std::atomic<double> idle_timeout_;
@@ -122,12 +126,12 @@
     counters &counters_;
     log &log_;
 
-    std::shared_mutex disabled_lock_; // shared while a first write is made
+    std::shared_mutex disabled_lock_; // held shared during a first write, exclusively by set_disabled()
     std::set<endpoint_index> disabled_;
 
-    std::mutex lock_;                     // guards what follows
+    std::mutex lock_;                     // protects the members below
     std::deque<endpoint_slot> endpoints_; // by index
-    std::size_t open_ = 0;                // these connections, in use and idle
+    std::size_t open_ = 0;                // upstream connections, in use and idle
     std::size_t client_connections_ = 0;
 };
 
--- a/tests/proxy/request_guard_test.cpp
+++ b/tests/proxy/request_guard_test.cpp
@@ -80,7 +80,7 @@
         CAPTURE(name_of(each.which));
         guarded_request request(each.effect);
         CHECK_FALSE(each.step(*request.guard));
-        CHECK(request.guard->was_violated());
+        CHECK(request.guard->step_was_refused());
         CHECK(request.violations() == 1);
         CHECK(request.logged(each.which));
     }
