--- a/tests/proxy/proxy_test.cpp
+++ b/tests/proxy/proxy_test.cpp
@@ -14,144 +14,151 @@
 
 namespace harrierpass::proxy {
 
-// ---- Parsers
+// Parsers
 
-std::string of_json(const std::string &text) {
+std::string parse_json_text(const std::string &text) {
     try {
-        const json made = read_json(text);
-        return made.type == json::kind::object ? std::string(made.string_at("a")) : made.text;
-    } catch (const parse_error &bad) {
-        return bad.reason;
+        const json value = read_json(text);
+        return value.type == json::kind::object ? std::string(value.string_at("a")) : value.text;
+    } catch (const parse_error &error) {
+        return error.reason;
     }
 }
 
-TEST_CASE("JSON: what is read and what is not") {
-    CHECK(of_json(R"( {"a" : "x\n\u00e9\ud83d\ude00/"} )") == "x\n\u00e9\U0001F600/");
-    CHECK(of_json("-12.5e+3") == "-12.5e+3");
-    CHECK(of_json("[1,[],{}]").empty());
-    for (const char *bad :
+TEST_CASE("JSON parser: accepts valid texts and rejects malformed ones") {
+    CHECK(parse_json_text(R"( {"a" : "x\n\u00e9\ud83d\ude00/"} )") == "x\n\u00e9\U0001F600/");
+    CHECK(parse_json_text("-12.5e+3") == "-12.5e+3");
+    CHECK(parse_json_text("[1,[],{}]").empty());
+    for (const char *malformed :
          {"",    "{",   "[1,]",    "{\"a\":1,}",       "{\"a\" 1}",   "{a:1}",       "01",  "1.",
           "-",   "1e",  "\"\\x\"", "\"\\u12\"",        "\"\\ud800\"", "\"\\udc00\"", "\"a", "\"\n\"",
           "tru", "1 2", "nan",     "{\"a\":1,\"a\":2}"}) {
-        CAPTURE(bad);
-        CHECK(of_json(bad).starts_with("JSON: "));
+        CAPTURE(malformed);
+        CHECK(parse_json_text(malformed).starts_with("JSON: "));
     }
-    CHECK(of_json(std::string(1000, '[')) == "JSON: nested too deep");
+    CHECK(parse_json_text(std::string(1000, '[')) == "JSON: nested too deep");
 }
 
-// Reads a message that comes in parts of `step` bytes.
-std::string of_http(const std::string &text, http_reader::message_kind which, std::size_t step = 100000) {
+// Parses a message that arrives in parts of `step` bytes.
+std::string parse_http_text(const std::string &text, http_reader::message_kind kind,
+                            std::size_t step = 100000) {
     static constexpr std::array<const char *, 4> states = {"more", "whole", "malformed", "too large"};
     std::vector<char> buffer(buffer_size);
-    http_reader reader(buffer, which);
+    http_reader reader(buffer, kind);
     auto state = http_reader::state::incomplete;
-    for (std::size_t at = 0; at < text.size() && state == http_reader::state::incomplete;) {
-        const std::size_t size = std::min({step, text.size() - at, reader.free_space().size()});
-        std::copy_n(text.data() + at, size, reader.free_space().data());
-        at += size;
+    for (std::size_t position = 0; position < text.size() && state == http_reader::state::incomplete;) {
+        const std::size_t size = std::min({step, text.size() - position, reader.free_space().size()});
+        std::copy_n(text.data() + position, size, reader.free_space().data());
+        position += size;
         state = reader.received(size);
     }
-    std::string said = states[static_cast<std::size_t>(state)];
+    std::string result = states[static_cast<std::size_t>(state)];
     if (state == http_reader::state::complete)
-        said.append(" [").append(reader.body()).append("] [").append(reader.pipelined_bytes()).append("]");
-    return said;
+        result.append(" [").append(reader.body()).append("] [").append(reader.pipelined_bytes()).append("]");
+    return result;
 }
 
-TEST_CASE("HTTP: whole messages, in any parts") {
-    const auto request = http_reader::message_kind::request, answer = http_reader::message_kind::response;
+TEST_CASE("HTTP reader: parses complete messages that arrive in parts of any size") {
+    const auto request = http_reader::message_kind::request, response = http_reader::message_kind::response;
     for (const std::size_t step : {1, 2, 3, 7, 100000}) {
         CAPTURE(step);
-        const auto is = [&](const std::string &text, http_reader::message_kind which) {
-            return of_http(text, which, step);
+        const auto parse = [&](const std::string &text, http_reader::message_kind kind) {
+            return parse_http_text(text, kind, step);
         };
-        CHECK(is("GET /a/b HTTP/1.1\r\nHost: x\r\n\r\n", request) == "whole [] []");
-        CHECK(is("PUT /a HTTP/1.1\r\ncontent-length: 3\r\n\r\nabc", request) == "whole [abc] []");
-        CHECK(is("PUT /a HTTP/1.1\r\nContent-Length: 3\r\n\r\nab", request) == "more");
-        CHECK(is("PUT /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n4;x=y\r\nabcd\r\n2\r\nef\r\n0\r\nT: "
-                 "1\r\n\r\n",
-                 request) == "whole [abcdef] []");
-        CHECK(is("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200\r\nContent-Length: 1\r\n\r\nz", answer) ==
+        CHECK(parse("GET /a/b HTTP/1.1\r\nHost: x\r\n\r\n", request) == "whole [] []");
+        CHECK(parse("PUT /a HTTP/1.1\r\ncontent-length: 3\r\n\r\nabc", request) == "whole [abc] []");
+        CHECK(parse("PUT /a HTTP/1.1\r\nContent-Length: 3\r\n\r\nab", request) == "more");
+        CHECK(
+            parse("PUT /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n4;x=y\r\nabcd\r\n2\r\nef\r\n0\r\nT: "
+                  "1\r\n\r\n",
+                  request) == "whole [abcdef] []");
+        CHECK(parse("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200\r\nContent-Length: 1\r\n\r\nz", response) ==
               "whole [z] []");
-        CHECK(is("HTTP/1.1 204 No Content\r\n\r\n", answer) == "whole [] []");
-        CHECK(is("HTTP/1.1 200 OK\r\n\r\nuntil the end", answer) == "more");
+        CHECK(parse("HTTP/1.1 204 No Content\r\n\r\n", response) == "whole [] []");
+        CHECK(parse("HTTP/1.1 200 OK\r\n\r\nuntil the end", response) == "more");
     }
-    CHECK(of_http("GET /a HTTP/1.1\r\n\r\nGET /b", request) == "whole [] [GET /b]");
+    CHECK(parse_http_text("GET /a HTTP/1.1\r\n\r\nGET /b", request) == "whole [] [GET /b]");
     std::string interim;
     for (int i = 0; i < 5000; ++i)
         interim += "HTTP/1.1 100 \r\n\r\n";
-    CHECK(of_http(interim + "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nz", answer, 60000) ==
+    CHECK(parse_http_text(interim + "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nz", response, 60000) ==
           "whole [z] []");
-    const std::string full(max_body_size, 'v');
-    CHECK(of_http("PUT /a HTTP/1.1\r\nContent-Length: 65536\r\n\r\n" + full, request).starts_with("whole"));
-    CHECK(of_http("PUT /a HTTP/1.1\r\nContent-Length: 99999\r\n\r\n", request) == "too large");
-    CHECK(of_http("GET /" + std::string(max_head_size, 'a'), request) == "too large");
-    CHECK(of_http("PUT /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nfffff\r\n", request) == "too large");
-}
-
-// Two readers must never take the same bytes for different messages.
-TEST_CASE("HTTP: malformed messages") {
-    for (const char *bad : {"GET  /a HTTP/1.1\r\n\r\n",
-                            "GET a HTTP/1.1\r\n\r\n",
-                            "GET /a HTTP/2.0\r\n\r\n",
-                            "GET /a\r\n\r\n",
-                            "G@T /a HTTP/1.1\r\n\r\n",
-                            "GET /a b HTTP/1.1\r\n\r\n",
-                            "GET /\x01 HTTP/1.1\r\n\r\n",
-                            "GET /a HTTP/1.1\r\nA : b\r\n\r\n",
-                            "GET /a HTTP/1.1\r\nA: b\r\n c\r\n\r\n",
-                            "GET /a HTTP/1.1\r\nA\r\n\r\n",
-                            "GET /a HTTP/1.1\nA: b\r\n\r\n",
-                            "GET /a HTTP/1.1\r\nA: b\nB: c\r\n\r\n",
-                            "PUT /a HTTP/1.1\r\nContent-Length: -1\r\n\r\n",
-                            "PUT /a HTTP/1.1\r\nContent-Length: 1x\r\n\r\n",
-                            "PUT /a HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\n",
-                            "PUT /a HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n",
-                            "PUT /a HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n",
-                            "PUT /a HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n",
-                            "PUT /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nx\r\n",
-                            "PUT /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n"}) {
-        CAPTURE(bad);
-        CHECK(of_http(bad, http_reader::message_kind::request) == "malformed");
+    const std::string body(max_body_size, 'v');
+    CHECK(parse_http_text("PUT /a HTTP/1.1\r\nContent-Length: 65536\r\n\r\n" + body, request)
+              .starts_with("whole"));
+    CHECK(parse_http_text("PUT /a HTTP/1.1\r\nContent-Length: 99999\r\n\r\n", request) == "too large");
+    CHECK(parse_http_text("GET /" + std::string(max_head_size, 'a'), request) == "too large");
+    CHECK(parse_http_text("PUT /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nfffff\r\n", request) ==
+          "too large");
+}
+
+// Two recipients must never parse the same bytes as different messages.
+TEST_CASE("HTTP reader: rejects malformed messages") {
+    for (const char *malformed :
+         {"GET  /a HTTP/1.1\r\n\r\n",
+          "GET a HTTP/1.1\r\n\r\n",
+          "GET /a HTTP/2.0\r\n\r\n",
+          "GET /a\r\n\r\n",
+          "G@T /a HTTP/1.1\r\n\r\n",
+          "GET /a b HTTP/1.1\r\n\r\n",
+          "GET /\x01 HTTP/1.1\r\n\r\n",
+          "GET /a HTTP/1.1\r\nA : b\r\n\r\n",
+          "GET /a HTTP/1.1\r\nA: b\r\n c\r\n\r\n",
+          "GET /a HTTP/1.1\r\nA\r\n\r\n",
+          "GET /a HTTP/1.1\nA: b\r\n\r\n",
+          "GET /a HTTP/1.1\r\nA: b\nB: c\r\n\r\n",
+          "PUT /a HTTP/1.1\r\nContent-Length: -1\r\n\r\n",
+          "PUT /a HTTP/1.1\r\nContent-Length: 1x\r\n\r\n",
+          "PUT /a HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\n",
+          "PUT /a HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n",
+          "PUT /a HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n",
+          "PUT /a HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n",
+          "PUT /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nx\r\n",
+          "PUT /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n"}) {
+        CAPTURE(malformed);
+        CHECK(parse_http_text(malformed, http_reader::message_kind::request) == "malformed");
     }
-    for (const char *bad :
+    for (const char *malformed :
          {"HTTP/1.1 20 OK\r\n\r\n", "HTTP/1.1 2000 OK\r\n\r\n", "HTTP/1.1  200\r\n\r\n", "200 OK\r\n\r\n"}) {
-        CAPTURE(bad);
-        CHECK(of_http(bad, http_reader::message_kind::response) == "malformed");
+        CAPTURE(malformed);
+        CHECK(parse_http_text(malformed, http_reader::message_kind::response) == "malformed");
     }
 }
 
-// Damaged bytes may be read as anything, but never beyond the buffer (the sanitizers look) and never for
-// ever.
-TEST_CASE("parsers on damaged bytes") {
-    std::minstd_rand chance(7);
+// A corrupted message may be parsed as any other, but the parsers must not read beyond the buffer, which the
+// sanitizers detect, and must terminate.
+TEST_CASE("parsers: corrupted bytes cause no invalid read and no endless loop") {
+    std::minstd_rand random_source(7);
     const std::string http = "PUT /a/b HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nabcd\r\n0\r\n\r\n";
     const std::string list = R"({"revision":4,"members":[{"id":"s","size":1.5,"phase":"\u0041"},null,true]})";
-    std::size_t whole_ones = 0;
+    std::size_t parsed_messages = 0;
     for (int round = 0; round < 20000; ++round) {
-        std::string one = http, two = list;
-        for (int hits = round % 4; hits >= 0; --hits) {
-            one[chance() % one.size()] = static_cast<char>(chance());
-            two[chance() % two.size()] = static_cast<char>(chance());
+        std::string corrupted_http = http, corrupted_list = list;
+        for (int corruptions = round % 4; corruptions >= 0; --corruptions) {
+            corrupted_http[random_source() % corrupted_http.size()] = static_cast<char>(random_source());
+            corrupted_list[random_source() % corrupted_list.size()] = static_cast<char>(random_source());
         }
-        whole_ones +=
-            of_http(one, http_reader::message_kind::request, 1 + chance() % 20).starts_with("whole");
-        of_json(two);
+        parsed_messages +=
+            parse_http_text(corrupted_http, http_reader::message_kind::request, 1 + random_source() % 20)
+                .starts_with("whole");
+        parse_json_text(corrupted_list);
     }
-    CHECK(whole_ones > 100); // most hits fall where any byte may stand
-    CHECK(whole_ones < 19000);
+    CHECK(parsed_messages > 100); // most corrupted bytes are at positions where any byte is valid
+    CHECK(parsed_messages < 19000);
 }
 
-TEST_CASE("deadlines and their units") {
+TEST_CASE("X-Deadline: accepts milliseconds and microseconds, rejects anything else") {
     CHECK(parse_timeout("480m") == doctest::Approx(0.48));
     CHECK(parse_timeout("1500u") == doctest::Approx(0.0015));
-    for (const char *bad : {"", "m", "5", "5s", "-1m", "1e400m", "nanm", "5 m"})
-        CHECK(parse_timeout(bad) < 0);
+    for (const char *malformed : {"", "m", "5", "5s", "-1m", "1e400m", "nanm", "5 m"})
+        CHECK(parse_timeout(malformed) < 0);
 }
 
-// ---- The proxy on loopback
+// The proxy with two endpoints on loopback
 
-// A request has its effect at most once, by what each outcome proves; a response is forwarded as it came.
-TEST_CASE("what is answered after each outcome of a first execution") {
+// A request may take effect only once, so an outcome that does not rule out execution forbids a retry of a
+// request that is not idempotent. Responses are forwarded unchanged.
+TEST_CASE("each outcome of a first attempt leads to the expected response and number of attempts") {
     const std::vector<std::pair<std::string, std::string>> outcomes = {
         {"completed", ok_response("value", "X-Cache: miss\r\n")},
         {"chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nval\r\n2\r\nue\r\n0\r\n\r\n"},
@@ -163,7 +170,7 @@
         {"ended", "close"},
         {"cut short", "cut:HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nval"},
         {"no HTTP", "cut:hello\r\n\r\n"},
-        // From here on the server leaves the connection open.
+        // After these responses the endpoint keeps the connection open.
         {"noise", "\x80noise"},
         {"unreadable", "HTTP/1.1 2x0 OK\r\nContent-Length: 5\r\n\r\nvalue"},
         {"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 5\r\n\r\nvalue"},
@@ -174,20 +181,21 @@
         {"more behind", ok_response("value") + ok_response("value")},
         {"interim", "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + ok_response("value")}};
     std::ostringstream trace;
-    for (const auto &[name, first] : outcomes) {
-        for (const std::string use : {"read", "book", "bill"}) {
-            proxy_fixture fixture({.responses = {first}});
+    for (const auto &[name, reply] : outcomes) {
+        for (const std::string class_name : {"read", "book", "bill"}) {
+            proxy_fixture fixture({.responses = {reply}});
             test_client client(fixture.port);
-            const std::string answer = status_and_body(client.request(make_request(use, "1")));
-            trace << use << ", " << name << ": " << answer << " after " << fixture.attempt_count() << '\n';
+            const std::string response = status_and_body(client.request(make_request(class_name, "1")));
+            trace << class_name << ", " << name << ": " << response << " after " << fixture.attempt_count()
+                  << '\n';
         }
     }
     CHECK(trace.str() == test::read_file(std::string(HARRIERPASS_TRACES) + "/proxy_outcomes.txt"));
 }
 
-// Malformed or stalled responses, here one of eleven, neither eject a healthy endpoint nor close its other
-// connections.
-TEST_CASE("spoilt answers do not make a server suspect") {
+// Malformed or stalled responses, here one in eleven, must neither eject a healthy endpoint nor close its
+// other connections.
+TEST_CASE("malformed responses do not eject an endpoint") {
     std::vector<std::string> replies;
     for (int i = 0; i < 30; ++i) {
         replies.emplace_back(i % 2 == 0 ? "HTTP/1.1 2x0 OK\r\n\r\n"
@@ -199,17 +207,17 @@
     for (int i = 0; i < 60; ++i)
         CHECK(status_and_body(client.request(make_request("read", std::to_string(i)))) ==
               "HTTP/1.1 200 [value]");
-    const auto &counted = fixture.proxy->counts();
-    CHECK(counted.value(counter::attempts_malformed) > 4);
-    CHECK(counted.value(counter::attempts_malformed) == counted.value(counter::attempts_error));
-    CHECK(counted.value(counter::health_checks) == 0);
+    const auto &counts = fixture.proxy->counts();
+    CHECK(counts.value(counter::attempts_malformed) > 4);
+    CHECK(counts.value(counter::attempts_malformed) == counts.value(counter::attempts_error));
+    CHECK(counts.value(counter::health_checks) == 0);
     fixture.proxy->end(0);
     CHECK(fixture.log_output.str().find("reason=suspect") == std::string::npos);
     CHECK(fixture.log_output.str().find("reason=spoilt") != std::string::npos);
 }
 
-// In deployments whose endpoints do not fetch what they lack; here the second server is the origin.
-TEST_CASE("a miss goes to the origin") {
+// For deployments whose endpoints do not fetch missing values themselves; the second endpoint is the origin.
+TEST_CASE("a cache miss and a write go to the origin") {
     proxy_fixture fixture({.responses = {"HTTP/1.1 404 None\r\nX-Cache: miss\r\nContent-Length: 0\r\n\r\n"},
                            .origin_settings = R"({"mode":"aside","originKind":1})"});
     test_client client(fixture.port);
@@ -221,7 +229,7 @@
     CHECK(fixture.proxy->counts().value(counter::attempts_cache_miss) == 1);
 }
 
-TEST_CASE("what a server is sent") {
+TEST_CASE("forwarded requests keep the protocol's fields and reuse connections") {
     proxy_fixture fixture;
     test_client client(fixture.port);
     CHECK(status_and_body(client.request(make_request("book", "7"))) == "HTTP/1.1 200 [value]");
@@ -234,12 +242,12 @@
     const auto deadline = sent.find("\r\nX-Deadline: 2");
     CHECK(deadline != std::string::npos);
     CHECK(sent.find("\r\nX-Deadline: ", deadline + 1) == std::string::npos);
-    for (int i = 0; i < 5; ++i) // on kept connections
+    for (int i = 0; i < 5; ++i) // on idle connections
         CHECK(status_and_body(client.request(make_request("read", "7"))) == "HTTP/1.1 200 [value]");
     CHECK(fixture.servers[0].connection_count() + fixture.servers[1].connection_count() <= 2);
 }
 
-TEST_CASE("requests that are no queries") {
+TEST_CASE("malformed requests get an error and reach no endpoint") {
     proxy_fixture fixture;
     const auto status = [&](const std::string &text) {
         return test_client(fixture.port).request(text).substr(9, 3);
@@ -248,7 +256,7 @@
     CHECK(status("GET /unknown/1 HTTP/1.1\r\n\r\n") == "400");
     const std::string id = "X-Request-Id: 1\r\n";
     CHECK(status("GET /unknown/1 HTTP/1.1\r\n" + id + "\r\n") == "400");
-    CHECK(status("GET /read/1 HTTP/1.1\r\n\r\n") == "400"); // no id, an empty one, two
+    CHECK(status("GET /read/1 HTTP/1.1\r\n\r\n") == "400"); // missing id, empty id, two ids
     CHECK(status("GET /read/1 HTTP/1.1\r\nX-Request-Id:\r\n\r\n") == "400");
     CHECK(status("GET /read/1 HTTP/1.1\r\n" + id + id + "\r\n") == "400");
     CHECK(status("GET /read/1 HTTP/1.1\r\n" + id + "X-Class: read\r\nX-Class: bill\r\n\r\n") == "400");
@@ -259,30 +267,30 @@
     CHECK(status("DELETE /read/1 HTTP/1.1\r\n\r\n") == "405");
     CHECK(status("PUT /book/1 HTTP/1.1\r\nContent-Length: 100000000\r\n\r\n") == "413");
     CHECK(fixture.attempt_count() == 0);
-    // Hundreds at once: each is told, until the connection ends.
-    test_client many(fixture.port);
-    std::string all;
+    // Hundreds of pipelined requests: each gets an error until the connection closes.
+    test_client pipelining(fixture.port);
+    std::string requests;
     for (int i = 0; i < 300; ++i)
-        all += "GET /read/1 HTTP/1.1\r\n\r\n";
-    many.send(all);
-    std::string told_all;
-    for (std::string part; !(part = many.read()).empty();)
-        told_all += part;
-    CHECK(test::count_occurrences(told_all, "HTTP/1.1 400") == 16);
-    CHECK(told_all.find("Connection: close") != std::string::npos);
-    // Two at once from a client that does not wait: answered in order.
+        requests += "GET /read/1 HTTP/1.1\r\n\r\n";
+    pipelining.send(requests);
+    std::string responses;
+    for (std::string part; !(part = pipelining.read()).empty();)
+        responses += part;
+    CHECK(test::count_occurrences(responses, "HTTP/1.1 400") == 16);
+    CHECK(responses.find("Connection: close") != std::string::npos);
+    // Two pipelined requests: the responses come in order.
     test_client client(fixture.port);
     client.send(make_request("read", "1") + "GET /_health HTTP/1.1\r\n\r\n");
-    const std::string both = client.read();
-    CHECK(both.starts_with("HTTP/1.1 200 OK\r\nContent-Length: 5"));
-    CHECK((both.size() > 60 || client.read().starts_with("HTTP/1.1 200")));
+    const std::string pipelined_responses = client.read();
+    CHECK(pipelined_responses.starts_with("HTTP/1.1 200 OK\r\nContent-Length: 5"));
+    CHECK((pipelined_responses.size() > 60 || client.read().starts_with("HTTP/1.1 200")));
     fixture.proxy->end(0);
     CHECK(fixture.log_output.str().find(" queries=1 open=") != std::string::npos);
     CHECK(fixture.log_output.str().find(" reason=bad_request") != std::string::npos);
 }
 
-// A request with the id of an open one has no effect and does not disturb the first one.
-TEST_CASE("an id that is open") {
+// A request with the id of an active request must have no effect and must not disturb that request.
+TEST_CASE("a request with the id of an active request gets a 409") {
     proxy_fixture fixture({.responses = {"hold"}});
     test_client first(fixture.port), second(fixture.port);
     first.send(make_request("bill", "1"));
@@ -292,22 +300,23 @@
         server.push_response(ok_response("value"));
     CHECK(status_and_body(first.read()) == "HTTP/1.1 200 [value]");
     CHECK(fixture.attempt_count() == 1);
-    CHECK(status_and_body(second.request(make_request("bill", "1"))) ==
-          "HTTP/1.1 200 [value]"); // it is free again
+    // The id is unused again.
+    CHECK(status_and_body(second.request(make_request("bill", "1"))) == "HTTP/1.1 200 [value]");
 }
 
-// Clients that send nothing, stop half way, or never close get an error or a closed connection within 3 s. No
-// connection closes over a request that has come.
-TEST_CASE("clients that are silent or slow") {
-    proxy_fixture fixture({.socket_limit = 85}); // 16 clients; half of them and more leave little room
+// Clients that send nothing, stop in the middle of a request, or never close get an error or a closed
+// connection within 3 s. No connection closes while it has a request.
+TEST_CASE("connections of silent, slow and idle clients close within 3 s") {
+    // Capacity for 16 clients; idle connections close from half of that on.
+    proxy_fixture fixture({.socket_limit = 85});
     proxy_fixture roomy;
-    test_client silent(fixture.port), half(fixture.port), busy(fixture.port), stays(roomy.port);
-    CHECK(status_and_body(stays.request(make_request("read", "1"))) == "HTTP/1.1 200 [value]");
-    std::list<test_client> once;
-    const auto from = std::chrono::steady_clock::now();
-    half.send("PUT /book/1 HTTP/1.1\r\nContent-Length: 4\r\n\r\nbo");
+    test_client silent(fixture.port), incomplete(fixture.port), busy(fixture.port), undisturbed(roomy.port);
+    CHECK(status_and_body(undisturbed.request(make_request("read", "1"))) == "HTTP/1.1 200 [value]");
+    std::list<test_client> idle;
+    const auto start = std::chrono::steady_clock::now();
+    incomplete.send("PUT /book/1 HTTP/1.1\r\nContent-Length: 4\r\n\r\nbo");
     for (int i = 0; i < 10; ++i)
-        CHECK(status_and_body(once.emplace_back(fixture.port).request(make_request("read", "1"))) ==
+        CHECK(status_and_body(idle.emplace_back(fixture.port).request(make_request("read", "1"))) ==
               "HTTP/1.1 200 [value]");
     for (int i = 0; i < 2; ++i)
         CHECK(status_and_body(busy.request(make_request("read", "2"))) == "HTTP/1.1 200 [value]");
@@ -315,41 +324,41 @@
     CHECK(huge.request("PUT /book/1 HTTP/1.1\r\nContent-Length: 600000000\r\n\r\n")
               .starts_with("HTTP/1.1 413"));
     CHECK(silent.wait_for_close());
-    CHECK(half.read().starts_with("HTTP/1.1 408"));
-    // Any of them: they end until there is room, and which goes first is a matter of threads.
-    while (std::none_of(once.begin(), once.end(), [](auto &each) { return each.is_closed(); }))
+    CHECK(incomplete.read().starts_with("HTTP/1.1 408"));
+    // Idle connections close until there is spare capacity; their order depends on the scheduling of threads.
+    while (std::none_of(idle.begin(), idle.end(), [](auto &each) { return each.is_closed(); }))
         std::this_thread::yield();
-    CHECK(!stays.is_closed()); // where there is room
-    CHECK(std::chrono::steady_clock::now() - from < std::chrono::milliseconds(2900));
+    CHECK(!undisturbed.is_closed()); // this proxy has spare capacity
+    CHECK(std::chrono::steady_clock::now() - start < std::chrono::milliseconds(2900));
     CHECK(status_and_body(busy.request(make_request("read", "2"))) == "HTTP/1.1 200 [value]");
     fixture.proxy->end(0);
     for (const char *reason : {"silent", "idle", "client_slow"})
         CHECK(fixture.log_output.str().find(std::string(" reason=") + reason) != std::string::npos);
 }
 
-// Memory stays bounded where endpoints come under ever new ids, also at the address of a removed one.
-TEST_CASE("servers that are replaced") {
+// Memory must stay bounded while endpoints with new ids replace others, also at the address of a removed one.
+TEST_CASE("replaced endpoints free their slots") {
     proxy_fixture fixture;
     test_client client(fixture.port);
-    const auto entry = [&](const std::string &id, std::size_t at, const char *phase) {
+    const auto entry = [&](const std::string &id, std::size_t server_index, const char *phase) {
         auto list = fixture.endpoint_list_json(phase, false);
         list.replace(list.find("\"s0\""), 4, "\"" + id + "\"");
         list.replace(list.find(fixture.servers[0].address()), fixture.servers[0].address().size(),
-                     fixture.servers[at].address());
+                     fixture.servers[server_index].address());
         return list.substr(list.find("[{") + 1, list.rfind("}]") - list.find("[{"));
     };
-    std::string before = "s0";
+    std::string previous_id = "s0";
     for (int i = 0; i < 20; ++i) {
-        const std::string next = "n" + std::to_string(i);
-        const std::size_t told_before = fixture.discovery.request_count();
+        const std::string next_id = "n" + std::to_string(i);
+        const std::size_t polls_before = fixture.discovery.request_count();
         fixture.discovery.push_response(ok_response(R"({"revision":50,"complete":false,"members":[)" +
-                                                    entry(before, 0, "left") + "," +
-                                                    entry(next, 0, "active") + "]}"));
-        fixture.discovery.wait_for_requests(told_before + 1);
+                                                    entry(previous_id, 0, "left") + "," +
+                                                    entry(next_id, 0, "active") + "]}"));
+        fixture.discovery.wait_for_requests(polls_before + 1);
         for (int key = 0; key < 4; ++key)
             CHECK(status_and_body(client.request(make_request("read", std::to_string(key)))) ==
                   "HTTP/1.1 200 [value]");
-        before = next;
+        previous_id = next_id;
     }
     CHECK(fixture.proxy->endpoint_slots() <= 4);
     CHECK(fixture.servers[0].request_count() > 20);
@@ -358,57 +367,57 @@
     CHECK(fixture.log_output.str().find(" reason=gone") != std::string::npos);
 }
 
-// A blocked thread is woken by a decision: the endpoint falls silent, the router cancels the attempt, and the
-// other endpoint gets the request well before the client's deadline.
-TEST_CASE("a silent server's query is called off and sent elsewhere") {
+// A decision of the router wakes a blocked thread: the endpoint does not respond, the router cancels the
+// attempt, and the other endpoint gets the request well before the client's deadline.
+TEST_CASE("an attempt at an unresponsive endpoint is canceled and retried at another one") {
     proxy_fixture fixture({.responses = {"hold"}});
     test_client client(fixture.port);
-    const auto from = std::chrono::steady_clock::now();
+    const auto start = std::chrono::steady_clock::now();
     CHECK(status_and_body(client.request(make_request("read", "1"))) == "HTTP/1.1 200 [value]");
-    CHECK(std::chrono::steady_clock::now() - from < std::chrono::milliseconds(2000));
+    CHECK(std::chrono::steady_clock::now() - start < std::chrono::milliseconds(2000));
     CHECK(fixture.proxy->counts().value(counter::attempts_canceled) == 1);
-    // Then it is probed, answers, and has its key back.
+    // A successful health check reinstates the endpoint, which gets the requests of its key again.
     while (fixture.proxy->counts().value(counter::health_checks_answered) == 0)
         std::this_thread::yield();
-    auto &silent = fixture.servers[fixture.servers[0].last_request().starts_with("GET /ping") ? 0 : 1];
-    while (!silent.last_request().starts_with("GET /read/1"))
+    auto &unresponsive = fixture.servers[fixture.servers[0].last_request().starts_with("GET /ping") ? 0 : 1];
+    while (!unresponsive.last_request().starts_with("GET /read/1"))
         CHECK(status_and_body(client.request(make_request("read", "1"))) == "HTTP/1.1 200 [value]");
 }
 
-TEST_CASE("the final answer comes before the client's end, and says whether to come back") {
+TEST_CASE("an unresponsive endpoint: clients get a 503 with Retry-After or a 504 in time") {
     proxy_fixture fixture({.responses = {"hold", "hold"}});
-    test_client one(fixture.port), two(fixture.port);
-    one.send(make_request("read", "1", "300m"));
-    two.send(make_request("bill", "2", "300m"));
-    const std::string rejected = one.read(), aborted = two.read();
+    test_client read_client(fixture.port), bill_client(fixture.port);
+    read_client.send(make_request("read", "1", "300m"));
+    bill_client.send(make_request("bill", "2", "300m"));
+    const std::string rejected = read_client.read(), aborted = bill_client.read();
     CHECK(rejected.starts_with("HTTP/1.1 503"));
     CHECK(rejected.find("\r\nRetry-After: 1.500\r\n") != std::string::npos);
     CHECK(aborted.starts_with("HTTP/1.1 504"));
     CHECK(aborted.find("Retry-After") == std::string::npos);
 }
 
-// Sixteen attempts are in flight, as many as the router allows at two endpoints it does not know. What comes
-// then is queued: it keeps its place, and its client may leave.
-TEST_CASE("held queries") {
+// The router allows sixteen attempts in flight at two endpoints whose capacity it does not know. Further
+// requests are queued in order, and a client may disconnect while its request is queued.
+TEST_CASE("requests beyond the concurrency limit are queued until an attempt ends") {
     proxy_fixture fixture({.responses = std::vector<std::string>(40, "hold")});
-    const auto &counted = fixture.proxy->counts();
+    const auto &counts = fixture.proxy->counts();
     std::list<test_client> clients;
     for (std::size_t total = 1; total <= 17; ++total) {
         clients.emplace_back(fixture.port).send(make_request("audit", std::to_string(total)));
-        while (counted.value(counter::requests) < total)
+        while (counts.value(counter::requests) < total)
             std::this_thread::yield();
     }
     while (fixture.attempt_count() < 16)
         std::this_thread::yield();
     CHECK(fixture.attempt_count() == 16);
-    fixture.servers[0].push_response(ok_response("first")); // makes a place for the one that is held
+    fixture.servers[0].push_response(ok_response("first")); // lets the queued request start
     while (fixture.attempt_count() < 17)
         std::this_thread::yield();
     clients.emplace_back(fixture.port).send(make_request("audit", "18"));
-    while (counted.value(counter::requests) < 18)
+    while (counts.value(counter::requests) < 18)
         std::this_thread::yield();
     clients.pop_back();
-    while (counted.value(counter::client_disconnects) == 0)
+    while (counts.value(counter::client_disconnects) == 0)
         std::this_thread::yield();
     CHECK(fixture.attempt_count() == 17);
     for (int i = 0; i < 20; ++i)
@@ -418,14 +427,14 @@
         CHECK(client.read().starts_with("HTTP/1.1 200"));
 }
 
-// On a platform where no signal ends a wait, a queued request still sees its decision, and an idle connection
-// the planned stop.
-TEST_CASE("calls among threads that are lost") {
+// If wake-up signals are lost, a queued request must still see its decision, and an idle connection the
+// planned stop.
+TEST_CASE("lost wake-up signals delay neither queued requests nor a planned stop") {
     proxy_fixture fixture({.responses = std::vector<std::string>(40, "hold")});
-    struct sigaction none {
-    }, before{};
-    none.sa_handler = SIG_IGN;
-    sigaction(SIGUSR2, &none, &before);
+    struct sigaction ignore {
+    }, previous{};
+    ignore.sa_handler = SIG_IGN;
+    sigaction(SIGUSR2, &ignore, &previous);
     std::list<test_client> clients;
     for (std::size_t total = 1; total <= 17; ++total) {
         clients.emplace_back(fixture.port).send(make_request("audit", std::to_string(total)));
@@ -439,93 +448,95 @@
             server.push_response(ok_response("late"));
     for (auto &client : clients)
         CHECK(client.read().starts_with("HTTP/1.1 200"));
-    const double ends = steady_now();
+    const double stop_began_at = steady_now();
     fixture.proxy->end(0);
-    CHECK(steady_now() - ends < 1.5); // they rest for 2.2 s else
-    sigaction(SIGUSR2, &before, nullptr);
+    CHECK(steady_now() - stop_began_at < 1.5); // they would wait for 2.2 s otherwise
+    sigaction(SIGUSR2, &previous, nullptr);
 }
 
-// A pool of connections to one server, which is endpoint 0.
+// A connection pool with one endpoint, which has index 0.
 struct pool_fixture {
-    pool_fixture() { servers.set_endpoint(0_endpoint, "s0", server.address(), 0, 0); }
+    pool_fixture() { pool.set_endpoint(0_endpoint, "s0", server.address(), 0, 0); }
 
     test_server server{[](const std::string &) { return ok_response("value"); }};
     std::ostringstream log_output;
-    counters counted;
-    log to{log_output, log_level::info};
-    upstream_pool servers{0.25, 5, 6, counted, to};
+    counters counts;
+    log logger{log_output, log_level::info};
+    upstream_pool pool{0.25, 5, 6, counts, logger};
 };
 
-// Idle connections to endpoints have the descriptors that clients leave, and no more.
-TEST_CASE("servers' connections have what clients leave") {
+// Idle upstream connections may use only the file descriptors that clients leave.
+TEST_CASE("upstream pool: closes the oldest idle connection when clients need its descriptor") {
     pool_fixture fixture;
-    upstream_pool &servers = fixture.servers;
-    servers.set_endpoint(1_endpoint, "s1", fixture.server.address(), 0, 0);
+    upstream_pool &pool = fixture.pool;
+    pool.set_endpoint(1_endpoint, "s1", fixture.server.address(), 0, 0);
     std::list<upstream_connection> in_use;
     for (index i = 0; i < 4; ++i)
-        in_use.push_back(servers.acquire(0_endpoint, 1));
-    for (auto &each : in_use)
-        servers.release(std::move(each), 1);
-    servers.reserve_for_clients(1, 1);
-    auto other = servers.acquire(1_endpoint, 1); // the sixth descriptor
-    CHECK(other.socket);
+        in_use.push_back(pool.acquire(0_endpoint, 1));
+    for (auto &connection : in_use)
+        pool.release(std::move(connection), 1);
+    pool.reserve_for_clients(1, 1);
+    auto connection_to_s1 = pool.acquire(1_endpoint, 1); // uses the sixth descriptor
+    CHECK(connection_to_s1.socket);
     CHECK(fixture.log_output.str().empty());
-    servers.reserve_for_clients(2, 1);
+    pool.reserve_for_clients(2, 1);
     CHECK(fixture.log_output.str().find("server=s0 executions=0 open=0 rested=0 reason=reclaimed") !=
           std::string::npos);
-    CHECK(servers.acquire(0_endpoint, 1).socket); // a kept one
-    CHECK(fixture.counted.value(counter::upstream_connects) == 5);
+    CHECK(pool.acquire(0_endpoint, 1).socket); // an idle connection
+    CHECK(fixture.counts.value(counter::upstream_connects) == 5);
 }
 
-// An endpoint may close its connections right after a response: those that have been idle longer are used
-// first.
-TEST_CASE("a server's connection rests before its next use") {
+// An endpoint may close its connections right after a response, so connections that have been idle longer are
+// preferred.
+TEST_CASE("upstream pool: reuses a connection that has been idle long enough to detect a close") {
     pool_fixture fixture;
-    upstream_pool &servers = fixture.servers;
-    auto first = servers.acquire(0_endpoint, 1), second = servers.acquire(0_endpoint, 1);
-    const int older = first.socket.get(), latest = second.socket.get();
-    servers.release(std::move(first), 1);
-    servers.release(std::move(second), 1.1);
-    auto used = servers.acquire(0_endpoint, 1.101);
-    CHECK(used.socket.get() == older);
-    servers.release(std::move(used), 1.102);
-    CHECK(servers.acquire(0_endpoint, 1.2).socket.get() == older); // both have rested: the latest
-    CHECK(servers.acquire(0_endpoint, 1.2).socket.get() == latest);
-    CHECK(fixture.counted.value(counter::upstream_connects) == 2);
-}
-
-// Other requests' connections stay open: where a process died they show it themselves.
-TEST_CASE("a reset ends its own connection only") {
+    upstream_pool &pool = fixture.pool;
+    auto first = pool.acquire(0_endpoint, 1), second = pool.acquire(0_endpoint, 1);
+    const int older_socket = first.socket.get(), latest_socket = second.socket.get();
+    pool.release(std::move(first), 1);
+    pool.release(std::move(second), 1.1);
+    auto used = pool.acquire(0_endpoint, 1.101);
+    CHECK(used.socket.get() == older_socket);
+    pool.release(std::move(used), 1.102);
+    // Both have been idle long enough, so the most recently used one is reused.
+    CHECK(pool.acquire(0_endpoint, 1.2).socket.get() == older_socket);
+    CHECK(pool.acquire(0_endpoint, 1.2).socket.get() == latest_socket);
+    CHECK(fixture.counts.value(counter::upstream_connects) == 2);
+}
+
+// A process that died closes its connections itself, so a reset is no reason to close those of other
+// requests.
+TEST_CASE("a reset closes only the connection of its attempt") {
     proxy_fixture fixture({.responses = {"hold"}});
-    test_client out(fixture.port), other(fixture.port);
-    out.send(make_request("read", "1"));
+    test_client client(fixture.port), other_client(fixture.port);
+    client.send(make_request("read", "1"));
     fixture.wait_for_attempt();
-    std::string next = make_request("read", "1");
-    next.replace(next.find("9b1"), 3, "9b2");
-    CHECK(status_and_body(other.request(next)) ==
-          "HTTP/1.1 200 [value]"); // on a second connection, to the same server
+    std::string second_request = make_request("read", "1");
+    second_request.replace(second_request.find("9b1"), 3, "9b2");
+    // Uses a second connection to the same endpoint.
+    CHECK(status_and_body(other_client.request(second_request)) == "HTTP/1.1 200 [value]");
     for (auto &server : fixture.servers)
         server.push_response("reset");
-    CHECK(status_and_body(out.read()) == "HTTP/1.1 200 [value]");
+    CHECK(status_and_body(client.read()) == "HTTP/1.1 200 [value]");
     fixture.proxy->end(0);
     CHECK(fixture.log_output.str().find("side=server server=s") != std::string::npos);
     CHECK(fixture.log_output.str().find(" reason=reset") != std::string::npos);
     CHECK(fixture.log_output.str().find(" reason=suspect") == std::string::npos);
 }
 
-// Beyond the limits on sockets and memory a client is rejected at once, before anything was executed.
-TEST_CASE("more clients than there is room for") {
-    proxy_fixture fixture(
-        {.responses = std::vector<std::string>(40, "hold"), .socket_limit = 85}); // 16 clients
+// Beyond the limits on sockets and memory a request must be rejected at once, before any attempt.
+TEST_CASE("a request beyond the connection capacity gets a 503 without any attempt") {
+    // Capacity for 16 clients.
+    proxy_fixture fixture({.responses = std::vector<std::string>(40, "hold"), .socket_limit = 85});
     std::list<test_client> clients;
     for (std::size_t total = 1; total <= 16; ++total) {
         clients.emplace_back(fixture.port).send(make_request("audit", std::to_string(total)));
         while (fixture.attempt_count() < total)
             std::this_thread::yield();
     }
-    const std::string refused = test_client(fixture.port).request(make_request("bill", "99"));
-    CHECK(refused.starts_with("HTTP/1.1 503"));
-    CHECK(refused.find("\r\nRetry-After: 1.500\r\n") != std::string::npos);
+    const std::string rejection = test_client(fixture.port).request(make_request("bill", "99"));
+    CHECK(rejection.starts_with("HTTP/1.1 503"));
+    CHECK(rejection.find("\r\nRetry-After: 1.500\r\n") != std::string::npos);
     CHECK(fixture.proxy->counts().value(counter::rejected_too_many_connections) == 1);
     CHECK(fixture.attempt_count() == 16);
     for (int i = 0; i < 20; ++i)
@@ -535,25 +546,24 @@
         CHECK(status_and_body(client.read()) == "HTTP/1.1 200 [late]");
 }
 
-// At the limit on sockets an idle connection makes room.
-TEST_CASE("resting clients are ended at the limit") {
-    proxy_fixture fixture(
-        {.socket_limit = 256}); // 118 clients; from 76 on, well below a third of the sockets, room is made
-    std::list<test_client> resting;
+TEST_CASE("idle client connections close at the limit on sockets") {
+    // Capacity for 118 clients; idle connections close from 76 on, well below a third of the sockets.
+    proxy_fixture fixture({.socket_limit = 256});
+    std::list<test_client> idle;
     for (int i = 0; i < 80; ++i)
-        resting.emplace_back(fixture.port);
-    while (!resting.front().is_closed())
+        idle.emplace_back(fixture.port);
+    while (!idle.front().is_closed())
         test_client(fixture.port).request("GET /_health HTTP/1.1\r\n\r\n");
     fixture.proxy->end(0);
     CHECK(fixture.log_output.str().find(" queries=0 open=") != std::string::npos);
     CHECK(fixture.log_output.str().find(" reason=reclaimed") != std::string::npos);
 }
 
-TEST_CASE("a query in many parts, and one that never comes whole") {
+TEST_CASE("a request may arrive in many parts; a truncated one closes the connection") {
     proxy_fixture fixture;
     test_client slow(fixture.port);
-    for (const char one : make_request("read", "1")) {
-        slow.send(std::string(1, one));
+    for (const char byte : make_request("read", "1")) {
+        slow.send(std::string(1, byte));
         std::this_thread::yield();
     }
     CHECK(status_and_body(slow.read()) == "HTTP/1.1 200 [value]");
@@ -568,8 +578,8 @@
     CHECK(fixture.log_output.str().find(" reason=client_cut") != std::string::npos);
 }
 
-// The router's count of what is in flight at an endpoint stays right: the attempt goes on without its client.
-TEST_CASE("a client that leaves") {
+// Ending the attempt early would make the router's count of the attempts in flight at the endpoint wrong.
+TEST_CASE("an attempt continues after its client disconnected") {
     proxy_fixture fixture({.responses = {"hold"}});
     {
         test_client client(fixture.port);
@@ -588,45 +598,47 @@
           "HTTP/1.1 200 [value]");
 }
 
-// Endpoints get no requests that nobody waits for: a connect may take longer than the client stays.
-TEST_CASE("a client that leaves while a connection to its server comes up") {
+// An endpoint must not get a request whose client disconnected during a slow connect.
+TEST_CASE("a request whose client disconnects during the connect is not sent") {
     proxy_fixture fixture({.connect_timeout_ms = 5000});
-    const full_backlog_server late;
+    const full_backlog_server slow_server;
     std::string list = fixture.endpoint_list_json("active", true);
-    for (const auto &each : fixture.servers)
-        list.replace(list.find(each.address()), each.address().size(), late.host_port());
+    for (const auto &server : fixture.servers)
+        list.replace(list.find(server.address()), server.address().size(), slow_server.host_port());
     fixture.discovery.push_response(ok_response(list));
     fixture.discovery.wait_for_requests(3);
-    auto &count = fixture.proxy->counts();
+    auto &counts = fixture.proxy->counts();
     {
         test_client client(fixture.port);
         client.send(make_request("bill", "1"));
-        while (count.value(counter::upstream_connects) == 0)
+        while (counts.value(counter::upstream_connects) == 0)
             std::this_thread::yield();
     }
-    const tcp_socket came = late.accept_waiting();
-    while (count.value(counter::client_disconnects) == 0)
+    const tcp_socket connection = slow_server.accept_waiting();
+    while (counts.value(counter::client_disconnects) == 0)
         std::this_thread::yield();
-    CHECK(count.value(counter::attempts_sent) == 0);
+    CHECK(counts.value(counter::attempts_sent) == 0);
     std::array<char, 64> bytes{};
-    fixture.proxy.reset(); // its connections end; a probe may have been written meanwhile, the query never
-    CHECK(::recv(came.get(), bytes.data(), bytes.size(), 0) >= 0);
+    // Closes the proxy's connections. A health check may have been written, but never the request.
+    fixture.proxy.reset();
+    CHECK(::recv(connection.get(), bytes.data(), bytes.size(), 0) >= 0);
     CHECK(std::string_view(bytes.data(), bytes.size()).find("/bill/") == std::string_view::npos);
 }
 
-// A request must not be written on an idle connection that its endpoint has closed: nobody could tell whether
+// If a request were written on an idle connection that its endpoint has closed, it would be unknown whether
 // it was executed.
-TEST_CASE("a kept connection that may have ended is not used") {
+TEST_CASE("an idle upstream connection that may be closed is not reused") {
     proxy_fixture fixture(
         {.responses = {"cut:" + ok_response("value"), ok_response("value"), ok_response("value")}});
     test_client client(fixture.port);
-    for (std::size_t ended = 0; ended < 3; ++ended) {
+    for (std::size_t closed_connections = 0; closed_connections < 3; ++closed_connections) {
         CHECK(status_and_body(client.request(make_request("bill", "1"))) == "HTTP/1.1 200 [value]");
-        // The first is ended by its server, the others as they are idle near the limit.
-        while (ended == 0 &&
+        // The endpoint closes the first connection; the others are idle for almost the idle timeout.
+        while (closed_connections == 0 &&
                fixture.servers[0].open_connection_count() + fixture.servers[1].open_connection_count() > 0)
             std::this_thread::yield();
-        while (ended > 0 && fixture.proxy->counts().value(counter::upstream_connections_stale) <= ended)
+        while (closed_connections > 0 &&
+               fixture.proxy->counts().value(counter::upstream_connections_stale) <= closed_connections)
             std::this_thread::yield();
     }
     CHECK(fixture.servers[0].connection_count() + fixture.servers[1].connection_count() == 3);
@@ -634,15 +646,17 @@
     CHECK(fixture.attempt_count() == 3);
 }
 
-TEST_CASE("a server that refuses connections") {
+TEST_CASE("requests for an endpoint that refuses connections go to the other one") {
     proxy_fixture fixture;
-    auto gone = std::make_unique<test_server>([](const std::string &) { return ok_response("never"); });
-    const std::string at = gone->address();
-    gone.reset();
+    auto stopped_server =
+        std::make_unique<test_server>([](const std::string &) { return ok_response("never"); });
+    const std::string refusing_address = stopped_server->address();
+    stopped_server.reset();
     auto list = fixture.endpoint_list_json("active", false);
-    list.replace(list.find(fixture.servers[0].address()), fixture.servers[0].address().size(), at);
+    list.replace(list.find(fixture.servers[0].address()), fixture.servers[0].address().size(),
+                 refusing_address);
     fixture.discovery.push_response(ok_response(list));
-    fixture.discovery.wait_for_requests(3); // the next watch: the list has been told
+    fixture.discovery.wait_for_requests(3); // the next watch: the proxy has the list
     for (int key = 0; key < 8; ++key)
         CHECK(status_and_body(test_client(fixture.port).request(make_request("bill", std::to_string(key)))) ==
               "HTTP/1.1 200 [value]");
@@ -654,185 +668,191 @@
     CHECK(fixture.proxy->counts().value(counter::health_checks_answered) == 0);
 }
 
-// Draining endpoints in the list get no requests; the old list stands while discovery is lost.
-TEST_CASE("the list is followed") {
+// Endpoints that drain get no requests. The last list stays in force while discovery fails.
+TEST_CASE("changes of the endpoint list apply to the next requests") {
     proxy_fixture fixture;
     fixture.discovery.push_response(ok_response(fixture.endpoint_list_json("leaving", false)));
     fixture.discovery.wait_for_requests(3);
     CHECK(fixture.discovery.last_request().starts_with("GET /catalog/members?since=42&"));
-    const auto ask_all = [&] {
+    const auto send_requests = [&] {
         for (int key = 0; key < 8; ++key)
             CHECK(status_and_body(
                       test_client(fixture.port).request(make_request("read", std::to_string(key)))) ==
                   "HTTP/1.1 200 [value]");
     };
-    ask_all();
+    send_requests();
     CHECK(fixture.servers[0].request_count() == 0);
     fixture.discovery.push_response("cut:HTTP/1.1 500 Down\r\nContent-Length: 0\r\n\r\n");
     while (fixture.proxy->counts().value(counter::polls_failed) == 0)
         std::this_thread::yield();
-    ask_all();
+    send_requests();
     CHECK(fixture.servers[0].request_count() == 0);
-    fixture.discovery.wait_for_requests(4); // asked again, for the whole list, in which the server is back
+    // The next poll is for a snapshot, in which the endpoint is active again.
+    fixture.discovery.wait_for_requests(4);
     while (fixture.proxy->counts().value(counter::endpoint_updates) < 3)
         std::this_thread::yield();
-    ask_all();
+    send_requests();
     CHECK(fixture.servers[0].request_count() > 0);
 }
 
-// A restart while discovery is down works with the known endpoints; discovery is polled again soon, so that
-// draining endpoints are known on its return.
-TEST_CASE("discovery is silent from the start") {
+// A restart while discovery is down uses the stored endpoints. Discovery is polled again soon, so that
+// endpoints that drain are known as soon as it responds.
+TEST_CASE("a proxy that starts without discovery uses the stored endpoint list") {
     proxy_fixture fixture({.discovery_silent = true});
     CHECK(status_and_body(test_client(fixture.port).request(make_request("read", "1"))) ==
           "HTTP/1.1 200 [value]");
     fixture.discovery.wait_for_requests(3);
     CHECK(fixture.proxy->counts().value(counter::polls_failed) >= 2);
-    const std::size_t before = fixture.servers[0].request_count();
+    const std::size_t count_before = fixture.servers[0].request_count();
     fixture.first_server_draining = true;
     fixture.discovery_silent = false;
-    while (fixture.discovery.last_request().find("since=41") == std::string::npos) // the list has been told
+    while (fixture.discovery.last_request().find("since=41") == std::string::npos) // the proxy has the list
         std::this_thread::yield();
     for (int key = 0; key < 8; ++key)
         CHECK(status_and_body(test_client(fixture.port).request(make_request("bill", std::to_string(key)))) ==
               "HTTP/1.1 200 [value]");
-    CHECK(fixture.servers[0].request_count() == before);
+    CHECK(fixture.servers[0].request_count() == count_before);
 }
 
-// A proxy in service keeps its active requests and follows the discovery that the new file names; an unsound
-// file changes nothing.
-TEST_CASE("SIGHUP: discovery is at another address") {
+// A reload keeps the active requests and switches to the discovery service of the new file. An invalid file
+// changes nothing.
+TEST_CASE("SIGHUP: a new discovery address takes effect and keeps active requests") {
     proxy_fixture fixture({.responses = {"hold"}, .start_proxy = false});
-    test_server other([&](const std::string &request) {
+    test_server other_discovery([&](const std::string &request) {
         return request.find("since=") != std::string::npos
                    ? "hold"
                    : ok_response(fixture.endpoint_list_json("leaving", true));
     });
-    proxy_process it(fixture, "reload_test.json");
-    auto &proxy = it.process;
-    const int port = it.port;
-    test_client out(port);
-    out.send(make_request("read", "1"));
+    proxy_process running_proxy(fixture, "reload_test.json");
+    auto &proxy = running_proxy.process;
+    const int port = running_proxy.port;
+    test_client client(port);
+    client.send(make_request("read", "1"));
     fixture.wait_for_attempt();
-    it.reload(R"({"settings":)");
+    running_proxy.reload(R"({"settings":)");
     proxy.wait_for_output("reload-failed ");
     CHECK(proxy.output().find("reloaded") == std::string::npos);
-    it.reload(std::string(fixture.config)
-                  .replace(fixture.config.find(fixture.discovery.address()),
-                           fixture.discovery.address().size(), other.address()));
-    other.wait_for_requests(2);
+    running_proxy.reload(std::string(fixture.config)
+                             .replace(fixture.config.find(fixture.discovery.address()),
+                                      fixture.discovery.address().size(), other_discovery.address()));
+    other_discovery.wait_for_requests(2);
     CHECK(proxy.output().find("side=discovery reason=moved") != std::string::npos);
     CHECK(fixture.discovery.connection_count() == 1);
     for (auto &server : fixture.servers)
         server.push_response(ok_response("held"));
-    CHECK(status_and_body(out.read()) == "HTTP/1.1 200 [held]");
-    const std::size_t before = fixture.servers[0].request_count();
+    CHECK(status_and_body(client.read()) == "HTTP/1.1 200 [held]");
+    const std::size_t count_before = fixture.servers[0].request_count();
     for (int key = 0; key < 8; ++key)
         CHECK(status_and_body(test_client(port).request(make_request("read", std::to_string(key))))
                   .starts_with("HTTP/1.1 200"));
-    CHECK(fixture.servers[0].request_count() == before);
-    it.stop();
+    CHECK(fixture.servers[0].request_count() == count_before);
+    running_proxy.stop();
 }
 
-// With requests active over a switch of settings: those accepted before get one response each, later ones go
-// by the new settings, an unsound file changes nothing, and the way back is alike.
-TEST_CASE("SIGHUP: other settings, and back") {
+// Requests that are active during a change of settings get one response each, later requests use the new
+// settings, an invalid file changes nothing, and the settings can be changed back.
+TEST_CASE("SIGHUP: new settings apply to later requests, and can be reverted") {
     proxy_fixture fixture({.responses = {"hold"}, .start_proxy = false});
-    const auto changed = [&](const std::string &from, const std::string &to) {
-        std::string made = fixture.config;
-        return made.replace(made.find(from), from.size(), to);
+    const auto replace_in_config = [&](const std::string &old_text, const std::string &new_text) {
+        std::string text = fixture.config;
+        return text.replace(text.find(old_text), old_text.size(), new_text);
     };
-    const std::string moved =
-        changed(R"("familyInfo":{})", R"("familyInfo":{"mode":"aside","originKind":1})");
-    proxy_process it(fixture, "switch_test.json");
-    auto &proxy = it.process;
-    const int port = it.port;
-    test_client out(port);
-    out.send(make_request("read", "1"));
+    const std::string new_config =
+        replace_in_config(R"("familyInfo":{})", R"("familyInfo":{"mode":"aside","originKind":1})");
+    proxy_process running_proxy(fixture, "switch_test.json");
+    auto &proxy = running_proxy.process;
+    const int port = running_proxy.port;
+    test_client client(port);
+    client.send(make_request("read", "1"));
     fixture.wait_for_attempt();
 
-    it.reload(changed(R"("drainGraceMs":400)", R"("drainGraceMs":400,"startCapacity":14)"));
+    running_proxy.reload(
+        replace_in_config(R"("drainGraceMs":400)", R"("drainGraceMs":400,"startCapacity":14)"));
     proxy.wait_for_output("reload-failed reason=settings.rules.startCapacity is 14, not from 0 to 1");
-    it.reload(changed(R"("name":"p0")", R"("name":"p1")"));
+    running_proxy.reload(replace_in_config(R"("name":"p0")", R"("name":"p1")"));
     proxy.wait_for_output("reload-failed reason=name cannot change while the program runs");
-    it.reload(moved);
+    running_proxy.reload(new_config);
     proxy.wait_for_output("origin=aside");
-    // In hand since before the switch: sent once, and its answer is the client's.
+    // The request that was in flight before the change was sent once, and its client gets the response.
     CHECK(fixture.attempt_count() == 1);
     for (auto &server : fixture.servers)
         server.push_response(ok_response("held"));
-    CHECK(status_and_body(out.read()) == "HTTP/1.1 200 [held]");
-    // Writes go to the origin now, reads to the one cache that is left.
-    const std::size_t reads = fixture.servers[0].request_count(), writes = fixture.servers[1].request_count();
+    CHECK(status_and_body(client.read()) == "HTTP/1.1 200 [held]");
+    // Now writes go to the origin, and reads to the one remaining cache server.
+    const std::size_t reads_before = fixture.servers[0].request_count(),
+                      writes_before = fixture.servers[1].request_count();
     for (int key = 0; key < 6; ++key) {
         CHECK(status_and_body(test_client(port).request(make_request("bill", std::to_string(key)))) ==
               "HTTP/1.1 200 [value]");
         CHECK(status_and_body(test_client(port).request(make_request("read", std::to_string(key)))) ==
               "HTTP/1.1 200 [value]");
     }
-    CHECK(fixture.servers[0].request_count() == reads + 6);
-    CHECK(fixture.servers[1].request_count() == writes + 6);
+    CHECK(fixture.servers[0].request_count() == reads_before + 6);
+    CHECK(fixture.servers[1].request_count() == writes_before + 6);
 
-    it.reload(fixture.config);
+    running_proxy.reload(fixture.config);
     proxy.wait_for_output("origin=through");
-    const std::size_t before = fixture.servers[1].request_count(), all = fixture.attempt_count();
+    const std::size_t count_before = fixture.servers[1].request_count(),
+                      total_before = fixture.attempt_count();
     for (int key = 0; key < 12; ++key)
         CHECK(status_and_body(test_client(port).request(make_request("read", std::to_string(key)))) ==
               "HTTP/1.1 200 [value]");
-    CHECK(fixture.servers[1].request_count() > before); // a cache server again
-    CHECK(fixture.attempt_count() == all + 12);
-    it.stop();
+    CHECK(fixture.servers[1].request_count() > count_before); // it is a cache server again
+    CHECK(fixture.attempt_count() == total_before + 12);
+    running_proxy.stop();
 }
 
-// No request is lost or executed twice while settings switch to and fro under load: names in another order,
-// another mode.
-TEST_CASE("SIGHUP: other settings under load") {
+// While settings alternate under load, with names in another order and another mode, no request may be lost
+// or executed twice.
+TEST_CASE("SIGHUP: no request is lost or executed twice while settings alternate under load") {
     proxy_fixture fixture({.start_proxy = false});
-    proxy_process it(fixture, "load_test.json");
-    std::string moved = fixture.config;
-    moved.replace(moved.find(R"("familyInfo":{})"), 15, R"("familyInfo":{"mode":"aside","originKind":1})");
-    const auto list = moved.find(R"("useCases":[)") + 12;
-    moved.insert(list, R"({"name":"first","effect":"idempotent","group":"all","sloTimeMs":90},)");
-    constexpr int workers = 4, each = 150;
-    std::atomic<int> served = 0, asked = 0;
+    proxy_process running_proxy(fixture, "load_test.json");
+    std::string new_config = fixture.config;
+    new_config.replace(new_config.find(R"("familyInfo":{})"), 15,
+                       R"("familyInfo":{"mode":"aside","originKind":1})");
+    const auto classes = new_config.find(R"("useCases":[)") + 12;
+    new_config.insert(classes, R"({"name":"first","effect":"idempotent","group":"all","sloTimeMs":90},)");
+    constexpr int workers = 4, requests_per_worker = 150;
+    std::atomic<int> succeeded = 0, sent = 0;
     std::vector<std::thread> clients;
     clients.reserve(workers);
     for (int worker = 0; worker < workers; ++worker)
         clients.emplace_back([&, worker] {
-            test_client from(it.port);
-            for (int at = 0; at < each; ++at) {
-                const std::string key = std::to_string(worker * each + at);
-                served += status_and_body(from.request(make_request(at % 2 == 0 ? "bill" : "read", key))) ==
-                          "HTTP/1.1 200 [value]";
-                ++asked;
+            test_client client(running_proxy.port);
+            for (int number = 0; number < requests_per_worker; ++number) {
+                const std::string key = std::to_string(worker * requests_per_worker + number);
+                succeeded +=
+                    status_and_body(client.request(make_request(number % 2 == 0 ? "bill" : "read", key))) ==
+                    "HTTP/1.1 200 [value]";
+                ++sent;
             }
         });
     const auto count = [&](const std::string &line) {
-        return static_cast<int>(test::count_occurrences(it.process.output(), line));
+        return static_cast<int>(test::count_occurrences(running_proxy.process.output(), line));
     };
     int switches = 0;
-    while (asked < workers * each || switches % 2 != 0) {
-        it.reload(switches % 2 == 0 ? moved : fixture.config);
+    while (sent < workers * requests_per_worker || switches % 2 != 0) {
+        running_proxy.reload(switches % 2 == 0 ? new_config : fixture.config);
         ++switches;
         while (count(" adopted ") < switches)
             std::this_thread::yield();
     }
     for (auto &client : clients)
         client.join();
-    CHECK(served == workers * each);
-    CHECK(fixture.attempt_count() == workers * each);
-    it.stop();
+    CHECK(succeeded == workers * requests_per_worker);
+    CHECK(fixture.attempt_count() == workers * requests_per_worker);
+    running_proxy.stop();
 }
 
-// For settings that were edited by hand, the place and the fault are named.
-TEST_CASE("settings out of bounds") {
+// Settings may be edited by hand, so that the error has to contain the place and the fault.
+TEST_CASE("invalid settings are reported with their path and fault") {
     proxy_fixture fixture({.start_proxy = false});
-    const auto fault = [&](const std::string &from, const std::string &to) -> std::string {
-        std::string made = fixture.config;
+    const auto fault = [&](const std::string &old_text, const std::string &new_text) -> std::string {
+        std::string text = fixture.config;
         try {
-            read_configuration(made.replace(made.find(from), from.size(), to));
-        } catch (const parse_error &bad) {
-            return bad.reason;
+            read_configuration(text.replace(text.find(old_text), old_text.size(), new_text));
+        } catch (const parse_error &error) {
+            return error.reason;
         }
         return "";
     };
@@ -852,84 +872,87 @@
           "settings.familyInfo.mode is 'beside', which is not known");
 }
 
-// A request that crosses a switch of settings must not keep indices into names that are no longer in force.
-TEST_CASE("a query understood by the old names is not taken") {
+// A request that was parsed before a change of settings has class and tenant indices that are no longer
+// valid.
+TEST_CASE("dispatcher: a request parsed with an old configuration is not submitted") {
     proxy_fixture fixture({.start_proxy = false});
-    const auto old = std::make_shared<const configuration>(read_configuration(fixture.config));
-    const auto next = std::make_shared<const configuration>(read_configuration(fixture.config));
-    dispatcher decides(old);
-    decides.on_check_health = [](endpoint_index) {};
-    decides.on_watch_endpoints = [] {};
-    request_info made;
-    made.deadline = decides.now() + 100;
-    request_handle late, held;
-    CHECK(decides.submit(held, made, old));
-    decides.apply(next, {});
-    CHECK(decides.configuration_in_force() == next);
-    CHECK_FALSE(decides.submit(late, made, old));
-    CHECK(decides.is_released(late));
-    CHECK_FALSE(decides.is_released(held)); // it was taken before, and is still in hand
-    CHECK(decides.submit(late, made, next));
-    for (auto *const each : {&late, &held}) {
-        decides.client_disconnected(*each);
-        CHECK(decides.is_released(*each));
+    const auto old_settings = std::make_shared<const configuration>(read_configuration(fixture.config));
+    const auto new_settings = std::make_shared<const configuration>(read_configuration(fixture.config));
+    dispatcher routing(old_settings);
+    routing.on_check_health = [](endpoint_index) {};
+    routing.on_watch_endpoints = [] {};
+    request_info request;
+    request.deadline = routing.now() + 100;
+    request_handle late_request, active_request_handle;
+    CHECK(routing.submit(active_request_handle, request, old_settings));
+    routing.apply(new_settings, {});
+    CHECK(routing.configuration_in_force() == new_settings);
+    CHECK_FALSE(routing.submit(late_request, request, old_settings));
+    CHECK(routing.is_released(late_request));
+    // It was submitted before the change and is still active.
+    CHECK_FALSE(routing.is_released(active_request_handle));
+    CHECK(routing.submit(late_request, request, new_settings));
+    for (auto *const handle : {&late_request, &active_request_handle}) {
+        routing.client_disconnected(*handle);
+        CHECK(routing.is_released(*handle));
     }
 }
 
-// Settings and endpoint list switch together: while discovery does not answer, both stay.
-TEST_CASE("SIGHUP: other settings wait for their list") {
+// Settings and endpoint list change together, so both stay in force while discovery does not respond.
+TEST_CASE("SIGHUP: new settings take effect only with their endpoint list") {
     proxy_fixture fixture({.start_proxy = false});
-    test_server other([&](const std::string &) { return "hold"; });
-    std::string moved = fixture.config;
-    moved.replace(moved.find(fixture.discovery.address()), fixture.discovery.address().size(),
-                  other.address());
-    moved.replace(moved.find(R"("familyInfo":{})"), 15, R"("familyInfo":{"mode":"aside","originKind":1})");
-    proxy_process it(fixture, "waits_test.json");
-    auto &proxy = it.process;
-    const int port = it.port;
-    it.reload(moved);
-    other.wait_for_requests(1);
-    for (int key = 0; key < 12; ++key) // also to the one that would be the origin
+    test_server other_discovery([&](const std::string &) { return "hold"; });
+    std::string new_config = fixture.config;
+    new_config.replace(new_config.find(fixture.discovery.address()), fixture.discovery.address().size(),
+                       other_discovery.address());
+    new_config.replace(new_config.find(R"("familyInfo":{})"), 15,
+                       R"("familyInfo":{"mode":"aside","originKind":1})");
+    proxy_process running_proxy(fixture, "waits_test.json");
+    auto &proxy = running_proxy.process;
+    const int port = running_proxy.port;
+    running_proxy.reload(new_config);
+    other_discovery.wait_for_requests(1);
+    for (int key = 0; key < 12; ++key) // also at the endpoint that is the origin in the new settings
         CHECK(status_and_body(test_client(port).request(make_request("read", std::to_string(key)))) ==
               "HTTP/1.1 200 [value]");
     CHECK(fixture.servers[1].request_count() > 0);
     CHECK(proxy.output().find("adopted") == std::string::npos);
-    other.push_response(ok_response(fixture.endpoint_list_json("active", true)));
+    other_discovery.push_response(ok_response(fixture.endpoint_list_json("active", true)));
     proxy.wait_for_output("origin=aside");
-    it.stop();
+    running_proxy.stop();
 }
 
-// No request is lost at a planned stop, and clients whom no other proxy serves yet go on: new connections are
+// A planned stop must lose no request while clients are not yet served by another proxy: new connections are
 // served, active requests get their responses, then the process ends.
-TEST_CASE("a planned end") {
+TEST_CASE("planned stop: new connections are served and active requests get their responses") {
     proxy_fixture fixture({.responses = {"hold"}});
-    test_client out(fixture.port), idle(fixture.port);
+    test_client active(fixture.port), idle(fixture.port);
     CHECK(idle.request("GET /_health HTTP/1.1\r\n\r\n").starts_with("HTTP/1.1 200"));
-    out.send(make_request("read", "1"));
+    active.send(make_request("read", "1"));
     fixture.wait_for_attempt();
-    std::thread ending([&] { fixture.proxy->end(0.3); });
+    std::thread stopping([&] { fixture.proxy->end(0.3); });
     while (fixture.is_ready())
         std::this_thread::yield();
-    test_client late(fixture.port);
-    for (auto *const client : {&late, &idle, &late}) {
-        const std::string answer = client->request(make_request("read", "2"));
-        CHECK(status_and_body(answer) == "HTTP/1.1 200 [value]");
-        CHECK(answer.find("\r\nConnection: close\r\n") == std::string::npos);
+    test_client late_client(fixture.port);
+    for (auto *const client : {&late_client, &idle, &late_client}) {
+        const std::string response = client->request(make_request("read", "2"));
+        CHECK(status_and_body(response) == "HTTP/1.1 200 [value]");
+        CHECK(response.find("\r\nConnection: close\r\n") == std::string::npos);
     }
-    CHECK(late.wait_for_close());
+    CHECK(late_client.wait_for_close());
     CHECK(idle.wait_for_close());
     for (auto &server : fixture.servers)
         server.push_response(ok_response("held"));
-    const std::string last = out.read();
-    CHECK(status_and_body(last) == "HTTP/1.1 200 [held]");
-    CHECK(last.find("\r\nConnection: close\r\n") != std::string::npos);
-    ending.join();
+    const std::string last_response = active.read();
+    CHECK(status_and_body(last_response) == "HTTP/1.1 200 [held]");
+    CHECK(last_response.find("\r\nConnection: close\r\n") != std::string::npos);
+    stopping.join();
     CHECK_THROWS(test_client(fixture.port));
 }
 
-// The request's deadline is later than the time at which the platform kills the process: the stop must not
+// The request's deadline is later than the time at which the platform kills the process, so the stop must not
 // wait for it.
-TEST_CASE("a planned end waits no longer than the longest statement timeout") {
+TEST_CASE("planned stop: waits no longer than the longest statement timeout") {
     proxy_fixture fixture({.responses = {"hold"}, .request_timeout_ms = 100});
     test_client client(fixture.port);
     client.send(make_request("bill", "1", "60000m"));
@@ -939,49 +962,49 @@
     CHECK(fixture.proxy->counts().value(counter::aborted) == 1);
 }
 
-// With no connection open when the stop begins, clients are still sent here for a while and must be served.
-TEST_CASE("a planned end serves on for its grace") {
+// Even if no connection is open when the stop begins, clients are directed to this proxy for a while.
+TEST_CASE("planned stop: accepts new connections during its grace period") {
     proxy_fixture fixture;
-    const auto from = std::chrono::steady_clock::now();
-    std::thread ending([&] { fixture.proxy->end(0.3); });
+    const auto start = std::chrono::steady_clock::now();
+    std::thread stopping([&] { fixture.proxy->end(0.3); });
     while (fixture.is_ready())
         std::this_thread::yield();
     CHECK(status_and_body(test_client(fixture.port).request(make_request("read", "1"))) ==
           "HTTP/1.1 200 [value]");
-    ending.join();
-    CHECK(std::chrono::steady_clock::now() - from >= std::chrono::milliseconds(300));
+    stopping.join();
+    CHECK(std::chrono::steady_clock::now() - start >= std::chrono::milliseconds(300));
 }
 
-// At the limit on sockets idle clients make room, nobody is rejected because of them, and a connection whose
-// response did not say that it closes is there for the next request.
-TEST_CASE("many idle clients") {
-    proxy_fixture fixture({.socket_limit = 96}); // 96 less own use: some 20 clients
+// At the limit on sockets idle connections close, so that no request is rejected because of them. A
+// connection whose response did not announce its close must accept the next request.
+TEST_CASE("many idle clients cause no rejection and no unannounced close") {
+    proxy_fixture fixture({.socket_limit = 96}); // less the proxy's own use: capacity for about 20 clients
     std::list<test_client> idle;
-    int closing = 0;
+    int announced_closes = 0;
     for (int i = 0; i < 80; ++i) {
         auto &client = idle.emplace_back(fixture.port);
-        bool closes = false;
-        for (int query = 0; query < 2 && !closes; ++query) {
-            const std::string answer = client.request(make_request("read", "1"));
-            CHECK(status_and_body(answer) == "HTTP/1.1 200 [value]");
-            closes = answer.find("\r\nConnection: close\r\n") != std::string::npos;
+        bool announces_close = false;
+        for (int request = 0; request < 2 && !announces_close; ++request) {
+            const std::string response = client.request(make_request("read", "1"));
+            CHECK(status_and_body(response) == "HTTP/1.1 200 [value]");
+            announces_close = response.find("\r\nConnection: close\r\n") != std::string::npos;
         }
-        closing += closes;
+        announced_closes += announces_close;
     }
-    CHECK(closing > 40);
-    CHECK(closing < 70);
+    CHECK(announced_closes > 40);
+    CHECK(announced_closes < 70);
     CHECK(fixture.proxy->counts().value(counter::rejected_too_many_connections) == 0);
 }
 
-TEST_CASE("counters and configurations") {
+TEST_CASE("counters are printed in order, and incomplete configurations are rejected") {
     std::ostringstream text;
     counters().print(text);
     CHECK(text.str().starts_with("counter queries_taken 0\ncounter queries_malformed 0\n"));
     CHECK(text.str().ends_with("counter server_kept_stale 0\n"));
-    for (const char *bad :
+    for (const char *invalid :
          {"{}", "[]", R"({"settings":{}})", R"({"listen":"x","discovery":"y","settings":{}})",
           R"({"listen":"x","discovery":"y","settings":{"useCases":[{"sloTimeMs":"a"}]}})"})
-        CHECK_THROWS_AS(read_configuration(bad), parse_error);
+        CHECK_THROWS_AS(read_configuration(invalid), parse_error);
 }
 
 } // namespace harrierpass::proxy
--- a/tests/proxy/request_guard_test.cpp
+++ b/tests/proxy/request_guard_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// The guard of a request's life: every step that would break an invariant is refused, counted and named.
+// Tests that request_guard refuses, counts and logs each step that would violate an invariant.
 #include "support/stand.hpp"
 
 #include "proxy/request/request_guard.hpp"
@@ -7,29 +7,31 @@
 namespace harrierpass::proxy {
 namespace {
 
-constexpr double deadline = 10; // Unix time, s, of every request here
+constexpr double deadline = 10; // of every request in this file; Unix time in seconds
 
 struct guarded_request {
     explicit guarded_request(effect_kind effect) {
-        request_class kind;
-        kind.effect = effect;
-        kind.deduplication_window = 2;
+        request_class settings;
+        settings.effect = effect;
+        settings.deduplication_window = 2;
         guard.emplace(monitor);
-        guard->request_read("r1", kind, deadline);
+        guard->request_read("r1", settings, deadline);
+    }
+    std::uint64_t violations() const { return counts.value(counter::invariants_violated); }
+    bool logged(invariant checked) const {
+        return log_lines.str().find(name_of(checked)) != std::string::npos;
     }
-    std::uint64_t violations() const { return count.value(counter::invariants_violated); }
-    bool logged(invariant which) const { return log_lines.str().find(name_of(which)) != std::string::npos; }
 
     std::ostringstream log_lines;
     log logger{log_lines, log_level::error};
-    counters count;
-    invariant_monitor monitor{count, logger};
+    counters counts;
+    invariant_monitor monitor{counts, logger};
     std::optional<request_guard> guard;
 };
 
 } // namespace
 
-TEST_CASE("guard: a request's usual life breaks nothing") {
+TEST_CASE("request guard: a usual request violates no invariant") {
     guarded_request request(effect_kind::idempotent);
     CHECK(request.guard->may_start_attempt(1, 9));
     request.guard->attempt_finished(outcome::reset);
@@ -40,17 +42,17 @@
     CHECK(request.violations() == 0);
 }
 
-TEST_CASE("guard: what it refuses, counts and names") {
-    struct breach {
-        invariant which;
+TEST_CASE("request guard: a step that would violate an invariant is refused, counted and logged") {
+    struct violation_case {
+        invariant checked;
         effect_kind effect;
-        std::function<bool(request_guard &)> step; // whether it was allowed
+        std::function<bool(request_guard &)> step; // returns whether it was allowed
     };
     const auto time_out = [](request_guard &guard) {
         guard.may_start_attempt(1, 1);
         guard.attempt_finished(outcome::timed_out);
     };
-    const breach breaches[] = {
+    const violation_case violation_cases[] = {
         {invariant::one_response, effect_kind::idempotent,
          [](request_guard &guard) { return guard.may_respond() && guard.may_respond(); }},
         {invariant::attempt_before_response, effect_kind::idempotent,
@@ -76,17 +78,17 @@
          }},
         {invariant::deadline_forwarded, effect_kind::idempotent,
          [](request_guard &guard) { return guard.may_start_attempt(1, deadline); }}};
-    for (const auto &each : breaches) {
-        CAPTURE(name_of(each.which));
-        guarded_request request(each.effect);
-        CHECK_FALSE(each.step(*request.guard));
+    for (const auto &violating : violation_cases) {
+        CAPTURE(name_of(violating.checked));
+        guarded_request request(violating.effect);
+        CHECK_FALSE(violating.step(*request.guard));
         CHECK(request.guard->step_was_refused());
         CHECK(request.violations() == 1);
-        CHECK(request.logged(each.which));
+        CHECK(request.logged(violating.checked));
     }
 }
 
-TEST_CASE("guard: repeats that are allowed") {
+TEST_CASE("request guard: retries are allowed if not executed, or within the deduplication window") {
     guarded_request not_executed(effect_kind::non_idempotent);
     guarded_request deduplicated(effect_kind::deduplicated);
     CHECK(not_executed.guard->may_start_attempt(1, 1));
@@ -95,20 +97,20 @@
     CHECK(not_executed.guard->may_start_attempt(2, 1));
     CHECK(deduplicated.guard->may_start_attempt(1, 1));
     deduplicated.guard->attempt_finished(outcome::reset);
-    // The window counts from the first attempt that may have been executed.
+    // The window starts with the first attempt that may have been executed.
     CHECK(deduplicated.guard->may_start_attempt(2.9, 1));
     CHECK(not_executed.violations() + deduplicated.violations() == 0);
 }
 
-TEST_CASE("guard: a request that is read owes an answer unless its client left") {
-    guarded_request forgotten(effect_kind::idempotent);
-    guarded_request left(effect_kind::idempotent);
-    forgotten.guard.reset();
-    CHECK(forgotten.violations() == 1);
-    CHECK(forgotten.logged(invariant::response_before_close));
-    left.guard->on_client_disconnected();
-    left.guard.reset();
-    CHECK(left.violations() == 0);
+TEST_CASE("request guard: a request without a response is a violation unless its client disconnected") {
+    guarded_request without_response(effect_kind::idempotent);
+    guarded_request client_disconnected(effect_kind::idempotent);
+    without_response.guard.reset();
+    CHECK(without_response.violations() == 1);
+    CHECK(without_response.logged(invariant::response_before_close));
+    client_disconnected.guard->on_client_disconnected();
+    client_disconnected.guard.reset();
+    CHECK(client_disconnected.violations() == 0);
 }
 
 } // namespace harrierpass::proxy
--- a/tests/proxy/response_writer_test.cpp
+++ b/tests/proxy/response_writer_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// The fallback responses on a pair of sockets, and the texts that the reasons have in the log.
+// Tests of the fallback responses, on a pair of sockets, and of the values of reasons in the log.
 #include "proxy/client/response_writer.hpp"
 
 #include "net/sockets.hpp"
@@ -16,7 +16,7 @@
 namespace harrierpass::proxy {
 namespace {
 
-constexpr double write_limit = 5; // s; far more than a write on this machine takes
+constexpr double write_limit = 5; // seconds; far more than a write on one machine takes
 
 struct socket_pair {
     socket_pair() {
@@ -25,7 +25,7 @@
         proxy_end = tcp_socket(ends[0]);
         client_end = tcp_socket(ends[1]);
     }
-    // Writes until the socket has no room left; how many bytes that took.
+    // Writes until the socket's buffer is full; returns the number of bytes written.
     std::size_t fill() const {
         const std::string filling(4096, 'f');
         std::size_t written = 0;
@@ -36,7 +36,7 @@
             written += static_cast<std::size_t>(size);
         return written;
     }
-    // All that the client gets until the proxy's end closes.
+    // Returns the bytes that the client receives until the proxy closes its socket.
     std::string read_to_end() const {
         std::string all;
         std::array<char, 4096> part{};
@@ -51,10 +51,10 @@
 
 } // namespace
 
-TEST_CASE("fallback responses: the whole texts") {
-    const auto written = [](fallback_response which) {
+TEST_CASE("fallback responses: each is written completely") {
+    const auto written = [](fallback_response response) {
         socket_pair pair;
-        CHECK(write_fallback_response(pair.proxy_end, which, write_limit));
+        CHECK(write_fallback_response(pair.proxy_end, response, write_limit));
         pair.proxy_end.close();
         return pair.read_to_end();
     };
@@ -65,7 +65,7 @@
           "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
 }
 
-TEST_CASE("fallback responses: a client that reads late gets the whole text") {
+TEST_CASE("fallback responses: a client that reads late gets the complete response") {
     socket_pair pair;
     const std::size_t filled = pair.fill();
     std::string received;
@@ -80,7 +80,7 @@
     CHECK(received.ends_with("Connection: close\r\n\r\n"));
 }
 
-TEST_CASE("fallback responses: a client that does not read, or has left") {
+TEST_CASE("fallback responses: a client that does not read, or has disconnected, is reported") {
     socket_pair pair;
     pair.fill();
     CHECK_FALSE(write_fallback_response(pair.proxy_end, fallback_response::unavailable, 0.05));
@@ -88,8 +88,8 @@
     CHECK_FALSE(write_fallback_response(pair.proxy_end, fallback_response::bad_gateway, write_limit));
 }
 
-// The operators' pages name these texts.
-TEST_CASE("reasons in the log") {
+// The operators' documentation lists these values.
+TEST_CASE("reasons have their documented values in the log") {
     CHECK(std::string(log_text(close_reason::client_closed_early)) == "client_cut");
     CHECK(std::string(log_text(close_reason::closed_after_response)) == "answered_last");
     CHECK(std::string(log_text(close_reason::response_not_delivered)) == "answer_cut");
