--- a/src/proxy/program.hpp
+++ b/src/proxy/program.hpp
@@ -6,10 +6,10 @@
 
 namespace harrierpass::proxy {
 
-// Runs the program until SIGTERM or SIGINT and returns its exit status. The configuration is named by the
-// first argument or by BALANCER_CONFIG, the log level by BALANCER_LOG. With --check the configuration is
-// previewed and nothing is started. SIGHUP reads the configuration again. The counters are printed on SIGUSR1
-// and at the end.
+// Runs the program until SIGTERM or SIGINT and returns its exit status. The first argument or BALANCER_CONFIG
+// names the configuration file, BALANCER_LOG the log level. With --check, prints a preview of the
+// configuration and starts nothing. SIGHUP reloads the configuration. The counters are printed on SIGUSR1 and
+// at exit.
 int run(int argument_count, char **arguments, router_factory make_router = subsets::make_subset_router);
 
 } // namespace harrierpass::proxy
--- a/src/proxy/resource_limits.hpp
+++ b/src/proxy/resource_limits.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// How many connections fit the process's descriptors and memory.
+// Computes how many connections the descriptor and memory limits of the process allow.
 #pragma once
 
 #include "proxy/configuration.hpp"
@@ -9,24 +9,24 @@
 
 namespace harrierpass::proxy {
 
-// Descriptors that are no connections of clients or upstreams: standard ones, listening socket, discovery,
-// health checks, spare ones.
-inline constexpr std::size_t own_descriptors = 26;
+// Descriptors that are not used for client or upstream connections: standard streams, listening socket,
+// discovery, health checks, spare descriptors.
+inline constexpr std::size_t base_descriptors = 26;
 
-// The listener's limits of clients' connections.
+// The listener's limits on client connections.
 struct client_limits {
     std::size_t max_connections;
-    std::size_t reclaim_threshold; // from here on idle ones are closed for new ones
+    std::size_t reclaim_threshold; // connections from which on an idle one is closed for each new one
 };
 
-// `all` descriptors without `used` ones, but at least some for connections.
-[[nodiscard]] std::size_t descriptors_without(std::size_t all, std::size_t used);
+// `total` minus `used`, but at least a minimum for connections.
+[[nodiscard]] std::size_t remaining_descriptors(std::size_t total, std::size_t used);
 
-// Descriptors for connections of clients and upstreams together.
+// The number of descriptors for client and upstream connections together.
 [[nodiscard]] std::size_t connection_descriptors(const configuration &settings);
 
-// By the descriptors left for connections and by memory, of which `peers`, the other processes of this proxy,
-// use a part.
+// Computes the limits from the descriptors that remain for connections and from the memory limit. `peers`:
+// the usage of the other processes of this proxy, which share the memory limit.
 [[nodiscard]] client_limits client_limits_for(const configuration &settings, std::size_t descriptors,
                                               const shared_usage &peers = {});
 
--- a/src/proxy/service.cpp
+++ b/src/proxy/service.cpp
@@ -15,10 +15,10 @@
 namespace harrierpass::proxy {
 namespace {
 
-constexpr double listen_timeout = 2; // s for which the address is retried; a process before may still hold it
+constexpr double listen_timeout = 2; // s; the previous process may still be bound to the address
 constexpr std::chrono::milliseconds listen_retry_pause{20};
-constexpr double ready_check_interval = 0.005; // s between looks whether there is an endpoint list
-constexpr int max_allocator_arenas = 2;        // one for each thread would exceed the memory limit
+constexpr double ready_check_interval = 0.005; // s between checks for an endpoint list
+constexpr int max_allocator_arenas = 2;        // one per thread would exceed the memory limit
 
 } // namespace
 
@@ -40,18 +40,18 @@
     connect_components();
     const auto listen_address = parse_address(configuration_.listen);
     if (!listen_address)
-        throw parse_error{"the address to listen on is not usable"};
+        throw parse_error{"the listen address is invalid"};
     tcp_socket socket = take_over(*listen_address);
     const bool inherited = static_cast<bool>(socket);
     if (!inherited)
         socket = listen(*listen_address);
-    at_ = local_address(socket);
+    client_address_ = local_address(socket);
     metrics_.register_classes(configuration_.request_classes);
     discovery_.load_known_endpoints();
     const auto limits = client_limits_for(configuration_, connection_descriptors(configuration_));
     listener_.emplace(context_, std::move(socket), limits.max_connections, limits.reclaim_threshold);
     start_threads(inherited);
-    log_.info("started name=", configuration_.name, " listen=", to_text(at_),
+    log_.info("started name=", configuration_.name, " listen=", to_text(client_address_),
               " clients-at-most=", limits.max_connections,
               " control=", control_ ? to_text(control_->at()) : "none");
 }
@@ -78,50 +78,50 @@
     if (configuration_.control.empty() || directory == nullptr || *directory == '\0')
         return {};
     hot_restart_.emplace(directory, configuration_.listen);
-    auto taken = hot_restart_->take_over();
-    if (!taken)
+    auto handover = hot_restart_->take_over();
+    if (!handover)
         return {};
-    auto &[socket, state] = *taken;
+    auto &[socket, state] = *handover;
     const bool any_port = configuration_.listen.ends_with(":0");
     if (!any_port && to_text(local_address(socket)) != to_text(listen_address)) {
         log_.warning("handover-refused reason=address");
         return {};
     }
-    for (const auto &each : state)
-        apply_peer_message(each);
+    for (const auto &message : state)
+        apply_peer_message(message);
     log_.info("taken-over out=", discovery_.overrides().disabled().size(), " away=", context_.is_disabled());
     return std::move(socket);
 }
 
 tcp_socket service::listen(const address &listen_address) {
-    const double end = steady_now() + listen_timeout;
+    const double deadline = steady_now() + listen_timeout;
     for (;;) {
         tcp_socket socket = listen_on(listen_address, hot_restart_.has_value());
         if (socket)
             return socket;
-        if (!is_local_shortage(errno) || steady_now() >= end)
+        if (!is_local_shortage(errno) || steady_now() >= deadline)
             throw std::system_error(errno, std::generic_category(),
                                     "cannot listen on " + configuration_.listen);
         std::this_thread::sleep_for(listen_retry_pause);
     }
 }
 
-// The accepting thread comes last, as only end() ends it, and what comes before may fail.
+// Starts the accepting thread last: only end() stops it, and the steps before it may throw.
 void service::start_threads(bool inherited) {
     try {
-        timer_thread_.emplace([this] { dispatcher_.run_timer([this] { return over(); }); });
-        discovery_thread_.emplace([this] { discovery_.run([this] { return over(); }); });
+        timer_thread_.emplace([this] { dispatcher_.run_timer([this] { return stopped(); }); });
+        discovery_thread_.emplace([this] { discovery_.run([this] { return stopped(); }); });
         start_hot_restart();
         start_control_server();
         acceptor_thread_.emplace([this, inherited] { accept_clients(inherited); });
-    } catch (...) { // the threads that did start are joined when this is destroyed
-        over_ = true;
+    } catch (...) { // the destructor joins the threads that were started
+        stopped_ = true;
         throw;
     }
 }
 
-// A successor accepts clients once it knows the endpoints. Told to end before, it accepts none: the process
-// before it goes on serving.
+// A successor accepts clients once it has an endpoint list. If it is told to stop before, it accepts none:
+// its predecessor continues to serve.
 void service::accept_clients(bool inherited) {
     while (inherited && !discovery_.ready()) {
         if (context_.draining())
@@ -139,7 +139,7 @@
         return;
     const auto control_address = parse_address(configuration_.control);
     if (!control_address)
-        throw parse_error{"the operators' address, control, is not usable"};
+        throw parse_error{"the control address is invalid"};
     tcp_socket socket = listen_on(*control_address);
     if (!socket)
         throw std::system_error(errno, std::generic_category(), "cannot listen on " + configuration_.control);
@@ -175,7 +175,7 @@
     callbacks.state = [this] { return state_for_successor(); };
     callbacks.on_message = [this](const peer_message &message) { apply_peer_message(message); };
     callbacks.local_usage = [this] { return local_usage(); };
-    callbacks.on_peer_usage = [this](const shared_usage &used) { apply_peer_usage(used); };
+    callbacks.on_peer_usage = [this](const shared_usage &peers) { apply_peer_usage(peers); };
     hot_restart_->run(std::move(callbacks), listener_->socket());
 }
 
@@ -184,14 +184,14 @@
     const operator_overrides overrides = discovery_.overrides();
     for (const auto &id : overrides.disabled())
         state.push_back({peer_message::kind::endpoint_disabled, id});
-    for (const auto &[id, at] : overrides.enabled_at())
-        state.push_back({peer_message::kind::endpoint_enabled_at, std::to_string(at) + " " + id});
+    for (const auto &[id, enabled_at] : overrides.enabled_at())
+        state.push_back({peer_message::kind::endpoint_enabled_at, std::to_string(enabled_at) + " " + id});
     state.push_back({peer_message::kind::draining, context_.is_disabled() ? "1" : "0"});
     state.push_back({peer_message::kind::usage, to_text(local_usage())});
     return state;
 }
 
-// What operators ask of one process of this proxy holds for all of them.
+// An operator's command to one process of this proxy applies to all of its processes.
 void service::apply_peer_message(const peer_message &message) {
     switch (message.type) {
     case peer_message::kind::endpoint_disabled:
@@ -204,7 +204,7 @@
         if (const auto space = message.text.find(' '); space != std::string::npos)
             discovery_.record_enabled(
                 message.text.substr(space + 1),
-                parse_number<double>(message.text.substr(0, space), "no time of a return"));
+                parse_number<double>(message.text.substr(0, space), "a peer message has an invalid time"));
         break;
     case peer_message::kind::draining:
         set_disabled(message.text == "1");
@@ -230,23 +230,24 @@
 }
 
 shared_usage service::local_usage() {
-    return {upstream_.open_connections() + own_descriptors, listener_->connections(), true};
+    return {upstream_.open_connections() + base_descriptors, listener_->connections(), true};
 }
 
-// The limits hold for all processes of this proxy together.
-void service::apply_peer_usage(const shared_usage &used) {
-    const std::size_t left = descriptors_without(connection_descriptors(configuration_), used.descriptors);
-    const auto limits = client_limits_for(configuration_, left, used);
-    upstream_.set_capacity(left, dispatcher_.now());
+// The limits apply to all processes of this proxy together.
+void service::apply_peer_usage(const shared_usage &peers) {
+    const std::size_t remaining =
+        remaining_descriptors(connection_descriptors(configuration_), peers.descriptors);
+    const auto limits = client_limits_for(configuration_, remaining, peers);
+    upstream_.set_capacity(remaining, dispatcher_.now());
     listener_->set_capacity(limits.max_connections, limits.reclaim_threshold);
 }
 
-// By the settings in force and by those of a reload that waits for its list: the platform may go by either,
-// so the earlier kill counts.
+// Takes the earlier kill time of the configuration in force and of a pending one that waits for its endpoint
+// list: the platform may apply either.
 stop_schedule service::schedule() {
     double longest = longest_deadline(dispatcher_.configuration_in_force()->request_timeouts);
-    if (const auto next = discovery_.pending_configuration())
-        longest = std::min(longest, longest_deadline(next->request_timeouts));
+    if (const auto pending = discovery_.pending_configuration())
+        longest = std::min(longest, longest_deadline(pending->request_timeouts));
     return stop_schedule_for(longest);
 }
 
@@ -269,12 +270,12 @@
     context_.respond_by = now + stop.respond_by;
     context_.accept_until = now + stop.accept_until;
     context_.close_at = now + stop.close_idle;
-    context_.draining_at = now; // last: who sees it sees the others
+    context_.draining_at = now; // stored last: a thread that reads it also reads the values above
     wake_thread(acceptor_thread_->id());
-    acceptor_thread_.reset(); // joined once every request has its answer
+    acceptor_thread_.reset(); // returns once every request has its response
     if (context_.ids.size() > 0)
         context_.invariants.violated(invariant::nothing_left_at_end, "-");
-    over_ = true;
+    stopped_ = true;
     wake_thread(discovery_thread_->id());
     discovery_thread_.reset();
     timer_thread_.reset();
@@ -283,7 +284,7 @@
     log_.info("ended stopping-for=", context_.time_since_stop(), " earliest-kill=", stop.earliest_kill);
 }
 
-// All or nothing: a change of what the process was started with refuses the whole configuration.
+// Rejects the whole configuration if it changes a field that is fixed while the process runs.
 void service::reload(const configuration &next) {
     const std::pair<const char *, bool> fixed_fields[] = {
         {"listen", next.listen == configuration_.listen},
--- a/src/proxy/service.hpp
+++ b/src/proxy/service.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// The proxy as a whole: makes its parts, connects them, starts their threads and ends them. Decisions are the
-// parts' own.
+// Builds the components of a proxy, connects them, and starts and stops their threads. Takes no routing
+// decisions itself.
 #pragma once
 
 #include "proxy/client/listener.hpp"
@@ -8,7 +8,7 @@
 #include "proxy/operations/control_server.hpp"
 #include "proxy/operations/hot_restart.hpp"
 #include "proxy/operations/stop_schedule.hpp"
-#include "proxy/program.hpp" // run(), for those that include this file for it
+#include "proxy/program.hpp" // run(), for files that include only this header
 #include "proxy/upstream/health_checker.hpp"
 
 #include <atomic>
@@ -18,79 +18,80 @@
 
 namespace harrierpass::proxy {
 
-// One running proxy. Public functions are the main thread's, unless they say otherwise.
+// One running proxy. Public functions are called by the main thread unless stated otherwise.
 class service {
 public:
-    // Starts the proxy. Throws parse_error or std::system_error where it cannot start.
+    // Starts the proxy. Throws parse_error or std::system_error if it cannot start.
     service(configuration settings, std::ostream &log_output, log_level min_level,
             router_factory make_router = subsets::make_subset_router);
-    ~service(); // stops without a grace period, unless it was stopped before
+    ~service(); // stops without a grace period if it is still running
     service(const service &) = delete;
     service &operator=(const service &) = delete;
 
-    // A planned stop by the deployment's schedule (stop_schedule.hpp): serves as before, then closes idle
-    // connections, answers what is left, and returns.
+    // Performs a planned stop by the deployment's schedule (stop_schedule.hpp): continues to serve, then
+    // closes idle connections, responds to the remaining requests, and returns.
     void stop() { end(schedule()); }
 
-    // As stop(), but connections close after `grace` seconds.
+    // Like stop(), but connections are closed after `grace` seconds.
     void end(double grace);
 
-    // Takes from a new configuration what may change while the proxy runs. Throws parse_error, and then
-    // nothing has changed.
+    // Applies the fields of a new configuration that may change while the proxy runs. Throws parse_error and
+    // changes nothing if the configuration cannot be applied.
     void reload(const configuration &next);
 
     // The process counters. Any thread.
     [[nodiscard]] const counters &counts() const { return counters_; }
 
-    // The address that clients connect to.
-    [[nodiscard]] address at() const { return at_; }
+    // The address on which clients are accepted.
+    [[nodiscard]] address client_address() const { return client_address_; }
 
-    // The address of the control server; of size 0 where there is none.
+    // The address of the control server; its size is 0 if there is none.
     [[nodiscard]] address control_address() const { return control_ ? control_->at() : address{}; }
 
-    // Slots that endpoints ever held at a time.
+    // The largest number of endpoint slots in use at a time.
     [[nodiscard]] std::size_t endpoint_slots() const { return discovery_.slot_count(); }
 
-    // The log that the proxy writes. Any thread.
-    log &lines() { return log_; }
+    // The log of the proxy. Any thread.
+    log &logger() { return log_; }
 
 private:
-    // Whether the threads are to end.
-    bool over() const { return over_.load(); }
-    // Connects the callbacks of dispatcher and discovery client.
+    // Whether the threads have to stop.
+    bool stopped() const { return stopped_.load(); }
+    // Sets the callbacks of the dispatcher and of the discovery client.
     void connect_components();
-    // The listening socket of the process that serves, with its operators' state; empty: none hands it over.
+    // Takes over the listening socket and the operators' state from a running process of this proxy. Returns
+    // an empty socket if no process hands one over.
     tcp_socket take_over(const address &listen_address);
-    // A listening socket of its own; retries for a while. Throws std::system_error.
+    // Opens a listening socket; retries for listen_timeout. Throws std::system_error.
     tcp_socket listen(const address &listen_address);
-    // Starts all threads. `inherited`: the listening socket is another process's.
+    // Starts all threads. `inherited`: the listening socket was taken over from another process.
     void start_threads(bool inherited);
-    // The accepting thread. A successor accepts clients once it has a list.
+    // Body of the accepting thread. A successor accepts clients once it has an endpoint list.
     void accept_clients(bool inherited);
     // Starts the control server, if one is configured. Throws parse_error or std::system_error.
     void start_control_server();
-    // What the requests of operators do.
+    // Handlers for the requests to the control server.
     control_handlers make_control_handlers();
-    // Starts to exchange messages with other processes, if that is configured.
+    // Starts the exchange of messages with other processes of this proxy, if hot restart is configured.
     void start_hot_restart();
-    // What a successor has to know: operators' overrides and what this process uses.
+    // The messages for a successor: operator overrides and the usage of this process.
     std::vector<peer_message> state_for_successor();
-    // Carries out what another process of this proxy was told.
+    // Applies a message of another process of this proxy.
     void apply_peer_message(const peer_message &message);
-    // Asks clients to go elsewhere, or accepts them again.
+    // Sends clients to other proxies (the health check fails, connections close), or accepts them again.
     void set_disabled(bool disabled);
-    // Sends the message to the other processes if `done`, which it returns.
+    // Sends the message to the other processes if `done`. Returns `done`.
     bool broadcast_if(bool done, const peer_message &message);
-    // Lowers this process's limits by what others use.
-    void apply_peer_usage(const shared_usage &used);
-    // What this process uses of the shared limits.
+    // Lowers the limits of this process by the usage of the other processes.
+    void apply_peer_usage(const shared_usage &peers);
+    // The usage of the shared limits by this process.
     shared_usage local_usage();
-    // The schedule of a stop that begins now.
+    // The schedule of a planned stop that begins now.
     stop_schedule schedule();
-    // Stops by the schedule and waits for the threads. Idempotent.
+    // Stops according to the schedule and joins the threads. Idempotent.
     void end(const stop_schedule &stop);
 
-    const configuration configuration_; // that it was started with
+    const configuration configuration_; // at startup; a reload does not change it
     log log_;
     counters counters_;
     buffer_pool buffers_;
@@ -100,11 +101,11 @@
     discovery_client discovery_;
     health_checker health_checker_;
     proxy_context context_;
-    address at_;
-    std::atomic<bool> over_ = false;      // the threads are to end
-    std::atomic<bool> accepting_ = false; // clients are accepted
+    address client_address_;
+    std::atomic<bool> stopped_ = false;   // the threads have to stop
+    std::atomic<bool> accepting_ = false; // the listener accepts clients
     std::optional<listener> listener_;
-    std::optional<hot_restart> hot_restart_; // empty: another process can neither take over nor hand over
+    std::optional<hot_restart> hot_restart_; // empty: no handover to or from another process
     std::optional<control_server> control_;
     std::optional<joined_thread> timer_thread_, discovery_thread_, acceptor_thread_;
 };
--- a/src/testbed/runs/proxy_fleet.cpp
+++ b/src/testbed/runs/proxy_fleet.cpp
@@ -91,7 +91,7 @@
     proxy.service =
         std::make_unique<proxy::service>(proxy::read_configuration(text.str()), *proxy.log,
                                          log_level::warning, policy_factory_for(context_.variant.policy));
-    proxy.at = proxy.service->at();
+    proxy.at = proxy.service->client_address();
     check_ready(number);
 }
 
