--- a/src/proxy/client/listener.cpp
+++ b/src/proxy/client/listener.cpp
@@ -15,20 +15,23 @@
 namespace harrierpass::proxy {
 namespace {
 
-constexpr std::size_t max_rejected_connections = 32; // beyond the maximum; their requests are rejected
-constexpr double crowded_share = 0.9;   // of the maximum; beyond it each answer closes its connection
-constexpr double spacious_share = 0.5;  // of the maximum; up to it there is room for idle connections
-constexpr double check_interval = 0.25; // s between looks for what no event announces
-constexpr double retry_pause = 0.005;   // s until a connection is accepted again that could not be
-// s idle after which a connection may be reclaimed: one used since, or a new one, likely has a request on its
-// way.
+// Connections accepted above the maximum; their requests are rejected.
+constexpr std::size_t max_rejected_connections = 32;
+// Above this share of the maximum, each response closes its connection.
+constexpr double close_after_response_share = 0.9;
+// Above this share of the maximum, connections are closed early if idle after their first request.
+constexpr double early_idle_close_share = 0.5;
+constexpr double check_interval = 0.25; // s between checks of conditions that no event reports
+constexpr double retry_pause = 0.005;   // s before accepting is retried
+// A connection may be reclaimed after this idle time in s. A connection that is new or was used more recently
+// is likely to have a request on its way.
 constexpr double min_idle_after_request = 0.25;
 constexpr double min_idle_when_new = 0.05;
 constexpr double first_request_timeout = 2.1; // s; clients' deadlines are shorter
-constexpr double second_request_timeout =
-    2.2;                            // s, where room is short; some send one request and never close
-constexpr double idle_timeout = 30; // s; a client may vanish without closing
-constexpr double no_thread_write_timeout = 0.05; // s for which one answer may hold up accepting
+// s; applies if capacity is short. Some clients send one request and never close.
+constexpr double second_request_timeout = 2.2;
+constexpr double idle_timeout = 30; // s; a client may disappear without closing its connection
+constexpr double no_thread_write_timeout = 0.05; // s for which one response may delay accepting
 
 } // namespace
 
@@ -47,13 +50,14 @@
         }
         notify_of_stop();
     } while (!context_.is_closing() || context_.routing.now() < context_.accept_until || connections() > 0);
-    // Connections that came since the last look are still served, also while the last ones end.
+    // Connections that arrived after the last accept_all() are still served, as are those that arrive while
+    // the last ones close.
     for (accept_all(); connections() > 0; accept_all())
         wait_on({}, retry_pause);
     socket_.close();
 }
 
-// When a stop begins, each thread has to wait for the time of closing instead.
+// When a stop begins, the waiting threads have to recompute their timeouts from the time of closing.
 void listener::notify_of_stop() {
     const bool draining = context_.draining(), closing = context_.closes_idle();
     if ((draining && !notified_of_drain_) || (closing && !notified_of_close_))
@@ -69,8 +73,8 @@
 
 bool listener::accept_one() {
     const auto open = connections();
-    const bool made_room = open >= reclaim_threshold_ && close_one_idle();
-    if (!made_room && open >= max_connections_ + max_rejected_connections) {
+    const bool reclaimed = open >= reclaim_threshold_ && close_one_idle();
+    if (!reclaimed && open >= max_connections_ + max_rejected_connections) {
         wait_on({}, retry_pause);
         return false;
     }
@@ -87,11 +91,11 @@
         entry = &add_entry(connection);
         shared = std::make_shared<client_connection>(std::move(connection));
         if (start_detached(
-                [this, entry, shared, at = to_text(peer)] { serve(*entry, std::move(*shared), at); }))
+                [this, entry, shared, client = to_text(peer)] { serve(*entry, std::move(*shared), client); }))
             return true;
-    } catch (const std::bad_alloc &) { // rejected as for want of a thread
+    } catch (const std::bad_alloc &) { // rejected below, as without a thread
     }
-    // NOLINTNEXTLINE(bugprone-use-after-move): it was moved only where `shared` is there
+    // NOLINTNEXTLINE(bugprone-use-after-move): `connection` was moved only if `shared` is set
     reject_without_thread(shared ? shared->socket : connection.socket, entry, peer);
     return false;
 }
@@ -110,9 +114,9 @@
 
 listener::connection_entry &listener::add_entry(client_connection &connection) {
     const std::lock_guard guard(lock_);
-    // Those that close to make room do not count: a request is not rejected while they are on their way out.
+    // Connections being closed to free capacity do not count: no request is rejected while they are closing.
     const auto closing = std::count_if(entries_.begin(), entries_.end(),
-                                       [](const connection_entry &each) { return each.must_close.load(); });
+                                       [](const connection_entry &entry) { return entry.must_close.load(); });
     connection.over_capacity = entries_.size() >= max_connections_ + static_cast<std::size_t>(closing);
     return entries_.emplace_back();
 }
@@ -122,15 +126,15 @@
     entries_.remove_if([&](const connection_entry &each) { return &each == &entry; });
 }
 
-// The client may have sent its request already, so it has a whole answer. Closes an idle connection, whose
-// thread and memory are then free. Throws nothing, as memory may have run out.
+// Writes a complete response, as the client may have sent its request already. Closes an idle connection to
+// free its thread and memory. Does not throw, as memory may have run out.
 void listener::reject_without_thread(tcp_socket &client, const connection_entry *entry, const address &peer) {
     write_fallback_response(client, fallback_response::unavailable, no_thread_write_timeout);
     close_gracefully(client, retry_pause, buffer_size);
     try {
         context_.logger.warning("connection-end side=client peer=", to_text(peer),
                                 " queries=0 open=0 reason=", log_text(close_reason::no_thread));
-    } catch (const std::bad_alloc &) { // there is no line, but accepting goes on
+    } catch (const std::bad_alloc &) { // no log line, but accepting continues
     }
     close_one_idle();
     context_.counts.add(counter::client_connections_closed);
@@ -163,7 +167,7 @@
             if (!connection.buffer)
                 if (const auto reason = await_request(entry, connection))
                     return *reason;
-            connection.closes_after_response = entry.must_close || exceeds(crowded_share);
+            connection.closes_after_response = entry.must_close || exceeds(close_after_response_share);
             ++connection.requests;
             if (const close_decision decision = serve_request(context_, connection))
                 return *decision;
@@ -182,22 +186,22 @@
     const double since = context_.routing.now();
     const double timeout = connection.requests == 0 ? first_request_timeout : idle_timeout;
     std::optional<close_reason> reason;
-    auto found = peek(connection.socket);
-    while (found == peek_result::empty && !reason) {
+    auto peeked = peek(connection.socket);
+    while (peeked == peek_result::empty && !reason) {
         const double idle_for = context_.routing.now() - since;
         reason = idle_close_reason(entry, connection, idle_for);
         pollfd incoming{connection.socket.get(), POLLIN, 0};
-        // Bounded, as a wake-up may be missed.
+        // The wait is bounded, as a wake-up may be missed.
         const double until_close = context_.draining() ? std::max(context_.close_at - context_.routing.now(),
                                                                   context_.idle_close_delay() - idle_for)
                                                        : check_interval;
         wait_on({&incoming, 1}, reason ? 0 : std::min({check_interval, until_close, timeout - idle_for}));
-        // Whatever the reason to close, a request that has come meanwhile goes first.
-        found = peek(connection.socket);
+        // A request that has arrived meanwhile is served even if there is a reason to close.
+        peeked = peek(connection.socket);
     }
     set_idle(entry, false);
     entry.idle_before = context_.routing.now() - since;
-    switch (found) {
+    switch (peeked) {
     case peek_result::data:
         return std::nullopt;
     case peek_result::closed:
@@ -221,7 +225,7 @@
         return idle_for >= first_request_timeout ? std::optional(close_reason::silent) : std::nullopt;
     if (idle_for >= idle_timeout)
         return close_reason::idle;
-    if (connection.requests == 1 && idle_for >= second_request_timeout && exceeds(spacious_share))
+    if (connection.requests == 1 && idle_for >= second_request_timeout && exceeds(early_idle_close_share))
         return close_reason::idle;
     return std::nullopt;
 }
@@ -232,8 +236,8 @@
     entry.idle_since = context_.routing.now();
 }
 
-// First those that never sent a request, as they may be silent for ever, then the one that has been idle the
-// longest.
+// Prefers connections that have never sent a request, as they may never send one; then the one that has been
+// idle longest.
 bool listener::close_one_idle() {
     const double now = context_.routing.now();
     const auto rank = [](const connection_entry &entry) {
@@ -241,11 +245,12 @@
     };
     const std::lock_guard guard(lock_);
     connection_entry *chosen = nullptr;
-    for (auto &each : entries_) {
-        const double min_idle = each.has_sent_request ? min_idle_after_request : min_idle_when_new;
-        const bool closable = each.idle && !each.must_close && now - each.idle_since > min_idle;
-        if (closable && (chosen == nullptr || rank(each) < rank(*chosen)))
-            chosen = &each;
+    for (auto &candidate : entries_) {
+        const double min_idle = candidate.has_sent_request ? min_idle_after_request : min_idle_when_new;
+        const bool closable =
+            candidate.idle && !candidate.must_close && now - candidate.idle_since > min_idle;
+        if (closable && (chosen == nullptr || rank(candidate) < rank(*chosen)))
+            chosen = &candidate;
     }
     if (chosen == nullptr)
         return false;
@@ -256,9 +261,9 @@
 
 void listener::wake_all() {
     const std::lock_guard guard(lock_);
-    for (auto &each : entries_)
-        if (each.started)
-            wake_thread(each.thread);
+    for (auto &entry : entries_)
+        if (entry.started)
+            wake_thread(entry.thread);
 }
 
 bool listener::exceeds(double share) {
--- a/src/proxy/client/listener.hpp
+++ b/src/proxy/client/listener.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// Accepts clients' connections and gives each a thread of its own; closes idle ones when there is little room
-// left for further ones.
+// Accepts client connections and serves each in its own thread; closes idle connections when capacity for new
+// ones is short.
 #pragma once
 
 #include "proxy/client/close_reason.hpp"
@@ -17,80 +17,85 @@
 
 namespace harrierpass::proxy {
 
-// One listening socket and the connections that came from it. run() is the accepting thread.
+// A listening socket and the connections accepted from it. run() is the body of the accepting thread.
 class listener {
 public:
-    // At `max_connections` further connections have their requests rejected, and somewhat above it they are
-    // not accepted. From `reclaim_threshold` on one idle connection is closed for each that is accepted.
-    listener(proxy_context &context, tcp_socket listening, std::size_t max_connections,
+    // The requests of connections above `max_connections` are rejected; further above it, connections are not
+    // accepted. From `reclaim_threshold` on, an idle connection is closed for each new one.
+    listener(proxy_context &context, tcp_socket listening_socket, std::size_t max_connections,
              std::size_t reclaim_threshold)
-        : context_(context), socket_(std::move(listening)), max_connections_(max_connections),
+        : context_(context), socket_(std::move(listening_socket)), max_connections_(max_connections),
           reclaim_threshold_(std::min(max_connections, reclaim_threshold)) {}
 
-    // Changes both limits, as another process of this proxy holds other connections. Any thread.
+    // Changes both limits, which depend on the connections of other processes of this proxy. Any thread.
     void set_capacity(std::size_t max_connections, std::size_t reclaim_threshold) {
         max_connections_ = max_connections;
         reclaim_threshold_ = std::min(max_connections, reclaim_threshold);
     }
 
-    // Whether another process accepts the connections now; asked before each one. Set before run().
+    // Whether another process accepts connections now; called before each accept. Set before run().
     std::function<bool()> has_successor = [] { return false; };
 
     // The listening socket.
     [[nodiscard]] const tcp_socket &socket() const { return socket_; }
 
-    // How many connections are open. Any thread.
+    // The number of open connections. Any thread.
     [[nodiscard]] std::size_t connections();
 
-    // The accepting thread's loop. Returns once connections are to close and none is left.
+    // The loop of the accepting thread. Returns once the stop has reached its closing time and no connection
+    // is left.
     void run();
 
 private:
-    // A connection as the accepting thread knows it. Removed by the connection's thread at its end.
+    // An open connection. Removed by the thread that serves the connection.
     struct connection_entry {
         pthread_t thread{};     // valid once `started`
-        bool started = false;   // with the next two under lock_
+        bool started = false;   // `started`, `idle` and `idle_since` are protected by lock_
         bool idle = false;      // its thread waits for a request
         double idle_since = 0;  // Unix time, s
-        double idle_before = 0; // s idle before its latest request or its end; its thread's own
+        double idle_before = 0; // s idle before the latest request or the close; used by its thread only
         std::atomic<bool> has_sent_request = false;
-        std::atomic<bool> must_close = false; // to make room
+        std::atomic<bool> must_close = false; // closed to free capacity
     };
 
-    bool accept_one(); // false: none is waiting, or none can be accepted now
-    // Accepts until none is waiting, or none can be accepted now.
+    // Accepts one connection. Returns false if none is waiting or none can be accepted now.
+    bool accept_one();
+    // Accepts until no connection is waiting or none can be accepted now.
     void accept_all();
-    bool on_accept_failed(int error); // true: another may be accepted at once
-    // Adds an entry, and sets whether the connection is beyond the maximum. Throws std::bad_alloc.
+    // Handles an errno of accept(). Returns whether accepting can continue at once.
+    bool on_accept_failed(int error);
+    // Adds an entry, and sets the connection's over_capacity. Throws std::bad_alloc.
     connection_entry &add_entry(client_connection &connection);
-    // Removes the entry of a connection that has ended.
+    // Removes the entry of a closed connection.
     void remove_entry(const connection_entry &entry);
-    // Answers and closes a connection for which there was no thread or no memory. `entry`: null where there
-    // was no memory for one.
+    // Rejects and closes a connection for which no thread or no memory was available. `entry`: null if there
+    // was no memory for an entry.
     void reject_without_thread(tcp_socket &client, const connection_entry *entry, const address &peer);
-    // Wakes the connections' threads as a stop begins, and as idle connections are to close.
+    // Wakes the connections' threads when a stop begins and when idle connections have to close.
     void notify_of_stop();
     // Wakes the threads of all connections.
     void wake_all();
-    // The thread of a connection: serves its requests, closes and logs it, and removes its entry.
+    // Body of a connection's thread: serves its requests, closes and logs it, and removes its entry.
     void serve(connection_entry &entry, client_connection connection, const std::string &peer);
-    // Serves requests until the connection is to close.
+    // Serves requests until the connection has to close; returns the reason.
     close_reason serve_requests(connection_entry &entry, client_connection &connection);
-    // Waits, without a buffer, for the first bytes of a request; why the connection is to close instead.
+    // Waits, without a buffer, for the first bytes of a request. Returns the reason if the connection has to
+    // close instead.
     std::optional<close_reason> await_request(connection_entry &entry, client_connection &connection);
-    // Why a connection that has been idle for so many s is to close; empty: it stays.
+    // The reason to close a connection that has been idle for `idle_for` s; empty: it stays open.
     std::optional<close_reason> idle_close_reason(const connection_entry &entry,
                                                   const client_connection &connection, double idle_for);
     // Records when the connection became idle or busy.
     void set_idle(connection_entry &entry, bool idle);
-    // Tells one idle connection to close; false: there is none.
+    // Makes one idle connection close. Returns false if there is none.
     bool close_one_idle();
-    bool exceeds(double share); // more connections are open than this share of the maximum
+    // Whether more connections are open than this share of the maximum.
+    bool exceeds(double share);
 
     proxy_context &context_;
     tcp_socket socket_;
     std::atomic<std::size_t> max_connections_, reclaim_threshold_;
-    bool notified_of_drain_ = false, notified_of_close_ = false; // the accepting thread's own
+    bool notified_of_drain_ = false, notified_of_close_ = false; // used by the accepting thread only
     std::mutex lock_;                                            // protects entries_
     std::list<connection_entry> entries_;
 };
--- a/src/proxy/client/request_reader.cpp
+++ b/src/proxy/client/request_reader.cpp
@@ -9,9 +9,9 @@
 namespace harrierpass::proxy {
 namespace {
 
-constexpr double head_limit = 2.3;       // s from the first byte of a head to its last; clients may take 2 s
-constexpr double first_head_limit = 2.9; // s from the connection's start to the end of its first head
-constexpr double stop_check_period = 0.05; // s between checks whether a stop leaves no time for the rest
+constexpr double head_limit = 2.3;       // s from the first to the last byte of a head; clients may take 2 s
+constexpr double first_head_limit = 2.9; // s from accepting a connection to the end of its first head
+constexpr double stop_check_period = 0.05; // s between checks of the response time limit of a stop
 
 request_read_result read_failure(close_reason reason, int response_status = 0) {
     return {.failure = reason, .response_status = response_status};
@@ -37,7 +37,7 @@
     message.stream_body(max_streamed_body);
     auto state = message.parse_buffered();
     while (state == http_reader::state::incomplete) {
-        // The client is told to retry while there is time for it, instead of losing its connection.
+        // The client is told to retry while there is time for a response, instead of losing its connection.
         if (context_.routing.now() >= context_.respond_by)
             return read_failure(close_reason::shutting_down, 503);
         confirm_expectation(message);
@@ -67,13 +67,14 @@
     return is_first ? std::min(limit, client_.connected_at + first_head_limit) : limit;
 }
 
-// After the head, the body has a time that grows with what has come of it.
+// The time limit for the body starts at the end of the head and grows with the bytes received.
 void request_reader::extend_deadline(const http_reader &message) {
     if (!message.has_head())
         return;
-    if (!head_at_)
-        head_at_ = context_.routing.now();
-    deadline_ = *head_at_ + body_timeout + static_cast<double>(message.body().size()) / min_body_rate;
+    if (!head_received_at_)
+        head_received_at_ = context_.routing.now();
+    deadline_ =
+        *head_received_at_ + body_timeout + static_cast<double>(message.body().size()) / min_body_rate;
 }
 
 void request_reader::confirm_expectation(const http_reader &message) {
--- a/src/proxy/client/request_reader.hpp
+++ b/src/proxy/client/request_reader.hpp
@@ -11,37 +11,37 @@
 
 namespace harrierpass::proxy {
 
-// How the reading of a request ended.
+// The result of reading a request.
 struct request_read_result {
-    std::optional<close_reason> failure; // empty: the request is there
-    int response_status = 0;             // of a failure: what the client is told; 0: nothing
-    bool body_continues = false;         // the buffer is full, and the body goes on
+    std::optional<close_reason> failure; // empty: the request was read
+    int response_status = 0;             // status of the response to a failure; 0: no response
+    bool body_continues = false;         // the buffer is full and the body is incomplete
 };
 
-// Reads one request, in the thread of its connection.
+// Reads one request in the thread of its connection.
 class request_reader {
 public:
-    // Both have to outlive it.
+    // Both arguments must outlive the reader.
     request_reader(proxy_context &context, client_connection &client) : context_(context), client_(client) {}
 
     // Reads until `message` is complete or its buffer is full.
     request_read_result read(http_reader &message);
 
 private:
-    // When the head has to be complete; Unix time, s.
+    // The time by which the head must be complete; Unix time, s.
     double head_deadline() const;
-    // Moves the deadline for the next bytes with what has come of the body.
+    // Extends the deadline for the next bytes according to the bytes of the body received so far.
     void extend_deadline(const http_reader &message);
-    // Sends "100 Continue" once, if the client waits for it.
+    // Sends "100 Continue" once if the client expects it.
     void confirm_expectation(const http_reader &message);
-    // Waits a while for the next bytes; false: the time for them is over.
+    // Waits for the next bytes, for at most stop_check_period. Returns false if the deadline has passed.
     bool wait_for_bytes() const;
 
     proxy_context &context_;
     client_connection &client_;
-    double deadline_ = 0;              // Unix time, s, for the next bytes
-    std::optional<double> head_at_;    // when the head was there; Unix time, s
-    bool expectation_handled_ = false; // "100 Continue" has been sent
+    double deadline_ = 0;                    // for the next bytes; Unix time, s
+    std::optional<double> head_received_at_; // Unix time, s
+    bool expectation_handled_ = false;       // "100 Continue" has been sent
 };
 
 } // namespace harrierpass::proxy
--- a/src/proxy/client/response_writer.cpp
+++ b/src/proxy/client/response_writer.cpp
@@ -18,12 +18,13 @@
 constexpr string_view bad_gateway_text =
     "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
 
-// After the last response of a connection; more bytes would cost more than they are worth.
+// Applied after the last response of a connection: 0.2 s and 512 KiB, as reading more would cost too much.
 constexpr lingering_close last_response_linger = {0.2, 512UL * 1024};
-constexpr double source_pause_limit = 15;    // s that an endpoint may pause in a streamed response
-constexpr index max_malformed_requests = 16; // on a connection; its client does not learn
-constexpr double malformed_request_pause =
-    0.005; // s before more is read, so that a repeating client costs little
+constexpr double source_pause_limit = 15; // s without data from an endpoint in a streamed response
+// Malformed requests after which a connection is closed, as its client keeps repeating them.
+constexpr index max_malformed_requests = 16;
+// s before the connection is read again; limits the load from a client that repeats malformed requests.
+constexpr double malformed_request_pause = 0.005;
 
 framing framing_of(const http_reader &response, int client_http_minor) {
     if (response.content_length())
@@ -31,17 +32,18 @@
     return client_http_minor == 0 ? framing::by_close : framing::chunked;
 }
 
-// The connection ends by a reset, so that the client cannot take a part of the body for all of it.
+// Makes the connection close with a reset, so that the client cannot mistake a truncated body for a complete
+// one.
 void reset_on_close(const tcp_socket &client) {
-    const struct ::linger at_once { 1, 0 };
-    setsockopt(client.get(), SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
+    const struct ::linger reset { 1, 0 };
+    setsockopt(client.get(), SOL_SOCKET, SO_LINGER, &reset, sizeof reset);
 }
 
 } // namespace
 
-bool write_fallback_response(const tcp_socket &client, fallback_response which, double limit) {
-    const bool unavailable = which == fallback_response::unavailable;
-    return write_all(client, unavailable ? unavailable_text : bad_gateway_text, {}, limit);
+bool write_fallback_response(const tcp_socket &client, fallback_response response, double timeout) {
+    const bool unavailable = response == fallback_response::unavailable;
+    return write_all(client, unavailable ? unavailable_text : bad_gateway_text, {}, timeout);
 }
 
 close_decision response_writer::respond(int status, string_view fields, string_view body) {
@@ -58,8 +60,8 @@
     return respond_with_framing(200, fields, length ? content_length_header(*length) : "", {});
 }
 
-close_decision response_writer::reject(counter counted_as, double retry_after) {
-    request_.context.counts.add(counted_as);
+close_decision response_writer::reject(counter rejection_counter, double retry_after) {
+    request_.context.counts.add(rejection_counter);
     const std::string fields = retry_after_header(retry_after);
     request_.count_result(request_result::rejected);
     return respond(503, fields, {});
@@ -96,11 +98,11 @@
 bool response_writer::respond_to_internal_error() {
     if (!request_.guard.owes_response() || !request_.guard.may_respond())
         return false;
-    const bool harmless = !request_.guard.possibly_executed() && request_.attempts == 0;
-    request_.context.counts.add(harmless ? counter::rejected : counter::aborted);
-    request_.response_status = harmless ? 503 : 502;
+    const bool retry_is_safe = !request_.guard.possibly_executed() && request_.attempts == 0;
+    request_.context.counts.add(retry_is_safe ? counter::rejected : counter::aborted);
+    request_.response_status = retry_is_safe ? 503 : 502;
     write_fallback_response(request_.client.socket,
-                            harmless ? fallback_response::unavailable : fallback_response::bad_gateway,
+                            retry_is_safe ? fallback_response::unavailable : fallback_response::bad_gateway,
                             response_write_limit);
     request_.client.lingering = last_response_linger;
     return true;
@@ -112,7 +114,7 @@
     if (!request_.guard.may_respond())
         return close_reason::response_not_delivered;
     request_.response_status = status;
-    request_.id_lease = {}; // the client may use the id again as soon as it has the response
+    request_.id_lease = {}; // the client may reuse the id as soon as it has the response
     const std::string head = response_head(status, fields, framing_field, request_.keep_connection);
     if (!write_all(request_.client.socket, head, request_.head_only ? string_view{} : body,
                    response_write_limit)) {
@@ -124,11 +126,11 @@
     return close_after_response();
 }
 
-// Where the connection ends to make room for others, only what has come already is read from it.
+// If the connection closes to free capacity, only bytes that were already received are read from it.
 close_reason response_writer::close_after_response() {
     client_connection &client = request_.client;
-    const bool makes_room = client.closes_after_response || client.over_capacity;
-    client.lingering = {makes_room ? 0 : last_response_linger.limit, last_response_linger.max_bytes};
+    const bool frees_capacity = client.closes_after_response || client.over_capacity;
+    client.lingering = {frees_capacity ? 0 : last_response_linger.limit, last_response_linger.max_bytes};
     return close_reason::closed_after_response;
 }
 
@@ -166,11 +168,11 @@
         return forward_result::complete;
     }
     request_.keep_connection = false;
-    const bool client_broke = relayed == relay_result::sink_broken;
+    const bool client_failed = relayed == relay_result::sink_broken;
     const bool stopped = request_.context.routing.now() >= request_.stop_deadline();
-    if (body_framing == framing::by_close && (!client_broke || stopped))
+    if (body_framing == framing::by_close && (!client_failed || stopped))
         reset_on_close(request_.client.socket);
-    if (client_broke) {
+    if (client_failed) {
         request_.context.counts.add(counter::truncated_responses);
         request_.client.socket.close();
         return forward_result::client_left;
