--- a/src/proxy/discovery/discovery_client.cpp
+++ b/src/proxy/discovery/discovery_client.cpp
@@ -13,13 +13,13 @@
 namespace harrierpass::proxy {
 namespace {
 
-constexpr std::size_t max_list_size = 1024UL * 1024; // bytes; some 8,000 entries
-constexpr double agent_check_interval = 0.02;        // s between looks whether the router requests a poll
-constexpr double shared_check_interval = 0.1;        // s between looks whether a poll is due
-constexpr double min_snapshot_interval = 1;          // s between two writings of the snapshot file
-constexpr const char *unusable_address = "discovery has no usable address";
+constexpr std::size_t max_list_size = 1024UL * 1024; // bytes; about 8,000 entries
+constexpr double agent_check_interval = 0.02;        // s between checks whether the router requests a poll
+constexpr double shared_check_interval = 0.1;        // s between checks whether a poll is due
+constexpr double min_snapshot_interval = 1;          // s between two writes of the snapshot file
+constexpr const char *invalid_address = "the address of the discovery service is invalid";
 
-// Seconds, whole or decimal; 0 for anything else, as a date.
+// Parses whole or decimal seconds; returns 0 for anything else, such as a date.
 double parse_retry_after(std::string_view text) {
     double value = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
@@ -42,17 +42,17 @@
       configuration_(routing.configuration_in_force()), address_(parse_address(configuration_->discovery)),
       buffer_(max_list_size) {
     if (!address_)
-        throw parse_error{unusable_address};
+        throw parse_error{invalid_address};
 }
 
 void discovery_client::load_known_endpoints() {
     std::optional<endpoint_list> newest;
-    const auto consider = [&](const json &from, const char *source) {
+    const auto consider = [&](const json &list_json, const char *source) {
         try {
-            endpoint_list list = read_endpoint_list(from, *configuration_);
+            endpoint_list list = read_endpoint_list(list_json, *configuration_);
             if (!newest || list.revision > newest->revision)
                 newest = std::move(list);
-        } catch (const parse_error &error) { // the service will send its own
+        } catch (const parse_error &error) { // not fatal: the service will send its own list
             log_.warning("list-unusable ", source, "=1 reason=", error.reason);
         }
     };
@@ -73,10 +73,10 @@
         known_revision_ = newest->revision;
 }
 
-bool discovery_client::disable(const std::string &id, bool unknown_too) {
+bool discovery_client::disable(const std::string &id, bool allow_unknown) {
     const std::lock_guard guard(registry_lock_);
     const auto slot = registry_.slot_of(id);
-    if (!slot && !unknown_too)
+    if (!slot && !allow_unknown)
         return overrides_.is_disabled(id);
     if (!overrides_.disable(id) || !slot)
         return true;
@@ -130,7 +130,7 @@
 
 void discovery_client::reconfigure(std::shared_ptr<const configuration> next) {
     if (!parse_address(next->discovery))
-        throw parse_error{unusable_address};
+        throw parse_error{invalid_address};
     {
         const std::lock_guard guard(configuration_lock_);
         pending_ = std::move(next);
@@ -172,7 +172,7 @@
               " first-call-in=", schedule_->next_poll_at() - dispatcher_.now());
 }
 
-// A watch at the old address would never be answered again, so its connection ends.
+// Closes the connection: a watch at the old address would not get a response any more.
 void discovery_client::use_pending_configuration() {
     close_connection("moved");
     {
@@ -180,7 +180,7 @@
         configuration_ = awaiting_list_ = std::exchange(pending_, nullptr);
     }
     address_ = parse_address(configuration_->discovery);
-    spare_socket_.close(); // it may be of another address family
+    spare_socket_.close(); // the new address may be of another family
     schedule_->on_settings_changed(dispatcher_.now(), configuration_->poll);
 }
 
@@ -193,7 +193,7 @@
     } catch (const parse_error &error) {
         log_.warning("list-unusable reason=", error.reason);
         close_connection("list_unusable");
-    } catch (const std::bad_alloc &) { // whether the list was published is unknown, so it starts anew
+    } catch (const std::bad_alloc &) { // the list may or may not have been published: polls a new snapshot
         close_connection("no_memory");
         schedule_->on_settings_changed(dispatcher_.now(), configuration_->poll);
     }
@@ -230,10 +230,11 @@
 bool discovery_client::handle_response(const poll_response &response) {
     if (response.list) {
         const endpoint_list list = read_endpoint_list(*response.list, *configuration_);
-        // A delta would leave endpoints whose zones and kinds were read by the old configuration.
+        // After a delta, zones and kinds of the other endpoints would still be those of the old
+        // configuration.
         if (awaiting_list_ && !list.is_snapshot)
-            throw parse_error{"the first list after a reload is not whole"};
-        if (on_list(list))
+            throw parse_error{"the first list after a reload is not a snapshot"};
+        if (handle_list(list))
             ready_.store(true);
         return true;
     }
@@ -254,10 +255,10 @@
     dispatcher_.endpoints_updated(endpoint_update_kind::poll_failed, {});
 }
 
-bool discovery_client::on_list(const endpoint_list &list) {
+bool discovery_client::handle_list(const endpoint_list &list) {
     const auto before = schedule_->state();
     if (!schedule_->on_update(dispatcher_.now(), facts_of(list))) {
-        on_implausible_list(list);
+        handle_implausible_list(list);
         log_state_change(before);
         return false;
     }
@@ -276,8 +277,8 @@
     return true;
 }
 
-// The list in force stays, but the drains that the new one names are obeyed.
-void discovery_client::on_implausible_list(const endpoint_list &list) {
+// Keeps the list in force, but drains the endpoints that are draining in the new list.
+void discovery_client::handle_implausible_list(const endpoint_list &list) {
     counters_.add(counter::snapshots_implausible);
     log_.warning("list-doubted as=", discovery::name_of(schedule_->latest_implausibility()),
                  " revision=", list.revision, " known=", schedule_->revision(),
@@ -285,7 +286,8 @@
     if (schedule_->latest_implausibility() != discovery::implausibility::mostly_missing)
         return;
     endpoint_list drains = list;
-    std::erase_if(drains.items, [](const auto &each) { return each.info.state != endpoint_state::draining; });
+    std::erase_if(drains.items,
+                  [](const auto &entry) { return entry.info.state != endpoint_state::draining; });
     publish(drains, endpoint_update_kind::local);
 }
 
@@ -294,9 +296,9 @@
     const auto &listed = registry_.listed();
     discovery::snapshot_facts facts{
         list.is_snapshot, list.revision, schedule_->revision(), listed.size(), 0, 0};
-    for (const auto &each : list.items) {
-        facts.named_endpoints += each.info.state != endpoint_state::removed;
-        facts.common_endpoints += listed.contains(each.id);
+    for (const auto &entry : list.items) {
+        facts.named_endpoints += entry.info.state != endpoint_state::removed;
+        facts.common_endpoints += listed.contains(entry.id);
     }
     return facts;
 }
@@ -316,29 +318,29 @@
 
 std::vector<endpoint_info> discovery_client::apply_to_registry(const endpoint_list &list) {
     std::vector<endpoint_info> entries;
-    for (const auto &each : list.items) {
-        const bool removed = each.info.state == endpoint_state::removed;
-        const bool known = registry_.slot_of(each.id).has_value();
+    for (const auto &item : list.items) {
+        const bool removed = item.info.state == endpoint_state::removed;
+        const bool known = registry_.slot_of(item.id).has_value();
         if (removed && !known)
             continue;
-        endpoint_info info = each.info;
-        info.endpoint = registry_.acquire_slot(each.id);
+        endpoint_info info = item.info;
+        info.endpoint = registry_.acquire_slot(item.id);
         if (removed) {
-            registry_.remove_listed(each.id);
+            registry_.remove_listed(item.id);
         } else {
-            upstream_.set_endpoint(info.endpoint, each.id, each.host_port, info.started_at,
+            upstream_.set_endpoint(info.endpoint, item.id, item.host_port, info.started_at,
                                    dispatcher_.now());
-            if (!known) // the slot may have been another endpoint's
-                upstream_.set_disabled(info.endpoint, overrides_.is_disabled(each.id));
-            registry_.set_listed(each.id, info, each.host_port);
+            if (!known) // the slot may be a reused one
+                upstream_.set_disabled(info.endpoint, overrides_.is_disabled(item.id));
+            registry_.set_listed(item.id, info, item.host_port);
         }
-        entries.push_back(overrides_.apply(each.id, info));
-        entries.back().id = each.id;
+        entries.push_back(overrides_.apply(item.id, info));
+        entries.back().id = item.id;
     }
     return entries;
 }
 
-// The update is `local`, as it is no answer to a poll.
+// The update is `local`, as it does not come from a poll.
 void discovery_client::republish(const std::string &id) {
     const auto found = registry_.listed().find(id);
     if (found == registry_.listed().end())
@@ -350,11 +352,11 @@
 
 void discovery_client::save_snapshot(bool at_end) {
     if (configuration_->snapshot_path.empty() || !snapshot_outdated_ ||
-        (!at_end && dispatcher_.now() < snapshot_tried_at_ + min_snapshot_interval))
+        (!at_end && dispatcher_.now() < last_snapshot_attempt_at_ + min_snapshot_interval))
         return;
-    snapshot_tried_at_ = dispatcher_.now();
+    last_snapshot_attempt_at_ = dispatcher_.now();
     const std::string text =
-        discovery::to_text({configuration_->name, configuration_->discovery, snapshot_tried_at_,
+        discovery::to_text({configuration_->name, configuration_->discovery, last_snapshot_attempt_at_,
                             write_endpoint_list(current_list(), *configuration_)});
     snapshot_outdated_ = !write_snapshot(configuration_->snapshot_path, text);
     counters_.add(snapshot_outdated_ ? counter::snapshots_failed : counter::snapshots_written);
--- a/src/proxy/discovery/discovery_client.hpp
+++ b/src/proxy/discovery/discovery_client.hpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
-// Follows the endpoint list of the discovery service: polls it as discovery/poll_schedule.hpp says, and
-// publishes what it believes to the router and the connection pool. After a failed poll the last list stays
-// in force.
+// Keeps the endpoint list up to date: polls the discovery service according to discovery/poll_schedule.hpp
+// and publishes plausible lists to the router and the upstream pool. After a failed poll the current list
+// stays in force.
 //
-// Threads: run() is the polling thread. Operators' calls, reconfigure() and the queries may come from any
-// thread.
+// Threads: run() is the polling thread. The operators' functions, reconfigure() and the functions that only
+// return data may be called from any thread.
 #pragma once
 
 #include "base/counters.hpp"
@@ -29,99 +29,105 @@
 
 namespace harrierpass::proxy {
 
-// One for each proxy. Owns the poll schedule, the registry and the overrides.
+// One per proxy. Owns the poll schedule, the endpoint registry and the operator overrides.
 class discovery_client {
 public:
-    // All four must outlive it. Throws parse_error where the service's address cannot be used.
+    // All four arguments must outlive the client. Throws parse_error if the address of the service is
+    // invalid.
     discovery_client(dispatcher &routing, upstream_pool &upstreams, counters &counts, log &logger);
 
-    // Publishes the newer of the configuration's list and the snapshot file's. Before run().
+    // Publishes the newer of the lists in the configuration and in the snapshot file. Call before run().
     void load_known_endpoints();
 
-    // Disables an endpoint: from the return on no new attempt or health check is written to it, whatever the
-    // list says. Idempotent. False: no endpoint has or had that id, and `unknown_too` is not set.
-    bool disable(const std::string &id, bool unknown_too = false);
+    // Disables an endpoint: after the return no new attempt or health check is written to it, whatever its
+    // state in the list. Idempotent. Returns false if no endpoint with that id is or was listed and
+    // `allow_unknown` is not set.
+    bool disable(const std::string &id, bool allow_unknown = false);
 
-    // Enables a disabled endpoint, which then warms up. Idempotent. False: no endpoint has or had that id.
+    // Enables a disabled endpoint, which then warms up. Idempotent. Returns false if no endpoint with
+    // that id is or was listed.
     bool enable(const std::string &id);
 
-    // Another process of this proxy enabled the endpoint at that time (Unix time, s). Before
-    // load_known_endpoints().
+    // Records that another process of this proxy enabled the endpoint at `enabled_at` (Unix time, s). Call
+    // before load_known_endpoints().
     void record_enabled(const std::string &id, double enabled_at);
 
-    // A copy of what operators have disabled and enabled.
+    // A copy of the operator overrides.
     [[nodiscard]] operator_overrides overrides();
 
-    // How many endpoints are listed, and how many of them are disabled or avoided; without the origin.
+    // The number of listed endpoints, and how many of them are disabled or avoided. Origin endpoints do not
+    // count.
     [[nodiscard]] std::pair<std::size_t, std::size_t> endpoint_counts();
 
-    // Asks for a poll as soon as the schedule allows.
+    // Requests a poll as soon as the schedule allows.
     void poll_now() { poll_requested_.store(true); }
 
-    // Polls the new configuration's service for a snapshot. With it list and configuration come into force in
-    // one step; until then the old ones stand. Throws parse_error where the address cannot be used. Wake the
-    // polling thread afterwards.
+    // Polls the service of the new configuration for a snapshot. The snapshot and the configuration come into
+    // force in one step; until then the old ones stay in force. Throws parse_error if the address is invalid.
+    // The caller has to wake the polling thread afterwards.
     void reconfigure(std::shared_ptr<const configuration> next);
 
-    // The configuration that waits for its first list; null: none.
+    // The configuration that waits for its first list, or null.
     [[nodiscard]] std::shared_ptr<const configuration> pending_configuration();
 
     // Called by the polling thread when a new configuration is in force. Set before run().
     std::function<void(const configuration &)> on_configuration_applied;
 
-    // The polling thread's loop, until `stopped`.
+    // Loop of the polling thread; returns once `stopped` returns true.
     void run(const std::function<bool()> &stopped);
 
-    // Whether clients can be served. With an agent: the first poll is over, whatever its result. With a
-    // shared service: there is a list.
+    // Whether clients can be served. With an agent: the first poll has ended, successfully or not. With a
+    // shared service: there is an endpoint list.
     [[nodiscard]] bool ready() const { return ready_.load(); }
 
-    // Slots that endpoints ever held at a time.
+    // The largest number of endpoint slots in use at a time.
     [[nodiscard]] std::size_t slot_count() const { return registry_.slot_count(); }
 
 private:
-    // The service's answer to a poll; neither a list nor a rejection: it failed.
+    // The result of a poll. Without a list and without a rejection, the poll has failed.
     struct poll_response {
         std::optional<json> list;
         bool rejected = false;
         double retry_after = 0; // s; 0: not stated
     };
 
-    // Starts the poll schedule from the list that is there.
+    // Starts the poll schedule from the known list, if any.
     void start_schedule();
-    // Turns to the configuration that reconfigure() left, and to its service.
+    // Switches to the configuration passed to reconfigure(), and to its service.
     void use_pending_configuration();
-    // Makes the poll that is due and carries out its result; `interrupted` ends the wait.
+    // Sends the poll that is due and handles its result. The wait ends early if `interrupted` returns true.
     void poll_once(const std::function<bool()> &interrupted);
-    // Sends a poll over the kept connection or a new one, within `timeout` s. Throws parse_error where the
-    // response is no JSON.
+    // Sends a poll over the open connection or a new one, within `timeout` s. Throws parse_error if the
+    // response is not JSON.
     poll_response send_poll(const std::string &target, double timeout,
                             const std::function<bool()> &interrupted);
-    bool handle_response(const poll_response &response); // false: it failed
-    // Reports a failed poll to schedule and router.
+    // Handles the response to a poll. Returns false if the poll has failed.
+    bool handle_response(const poll_response &response);
+    // Reports a failed poll to the schedule and the router.
     void on_poll_failed(const discovery::endpoint_poll &failed);
-    bool on_list(const endpoint_list &list); // false: implausible
-    // Sets a list aside; the drains in it may be obeyed.
-    void on_implausible_list(const endpoint_list &list);
-    // What the plausibility of a list is assessed by.
+    // Publishes a list if it is plausible. Returns false if it is not.
+    bool handle_list(const endpoint_list &list);
+    // Discards a list; may still apply the draining states in it.
+    void handle_implausible_list(const endpoint_list &list);
+    // The facts by which the plausibility of a list is assessed.
     discovery::snapshot_facts facts_of(const endpoint_list &list);
-    // Puts a list into force: in the registry, the connection pool and the router.
+    // Puts a list into force in the registry, the upstream pool and the router.
     void publish(const endpoint_list &list, endpoint_update_kind kind);
-    // Applies a list to the registry and the pool; returns its entries with slots and overrides. The caller
-    // holds registry_lock_.
+    // Applies a list to the registry and the upstream pool; returns its entries with slots and overrides. The
+    // caller holds registry_lock_.
     std::vector<endpoint_info> apply_to_registry(const endpoint_list &list);
-    // Sends the entry of a listed endpoint to the router again, by the present overrides. The caller holds
+    // Sends the entry of a listed endpoint, with the current overrides, to the router again. The caller holds
     // registry_lock_.
     void republish(const std::string &id);
-    // Writes the snapshot file if the list has changed: at most once a second, or at once at the end.
+    // Writes the snapshot file if the list has changed: at most once a second, or immediately if `at_end`.
     void save_snapshot(bool at_end);
-    // The list in force, as a snapshot.
+    // The list in force as a snapshot.
     endpoint_list current_list();
-    // Whether polls go to a list service shared by all proxies, and not to an agent.
+    // Whether a list service shared by all proxies is polled, rather than an agent.
     bool is_shared_service() const;
-    // Logs the schedule's state if it is not the one before.
+    // Logs the state of the schedule if it differs from `before`.
     void log_state_change(discovery::poll_state before);
-    // Closes the kept connection, if there is one; `reason` is for the log.
+    // Closes the connection to the service, if there is one; `reason` is for the log.
     void close_connection(const char *reason);
 
     dispatcher &dispatcher_;
@@ -132,29 +138,29 @@
     // Protects pending_ and awaiting_list_. The polling thread alone writes awaiting_list_, and reads it
     // without the lock.
     std::mutex configuration_lock_;
-    std::shared_ptr<const configuration> pending_;       // the polling thread has not seen it; null: none
-    std::shared_ptr<const configuration> awaiting_list_; // its first list has not come yet; null: none
+    std::shared_ptr<const configuration> pending_;       // not yet used by the polling thread; may be null
+    std::shared_ptr<const configuration> awaiting_list_; // waits for its first list; may be null
 
-    // Held over each change of registry and overrides, and over its report to dispatcher and connection pool:
-    // both see the changes in the same order. Taken before the locks of those two.
+    // Held during each change of the registry or the overrides and its report to the dispatcher and the
+    // upstream pool, so that both see the changes in the same order. Acquired before the locks of these two.
     std::mutex registry_lock_;
     operator_overrides overrides_;
     endpoint_registry registry_;
 
-    // The polling thread's own.
-    std::shared_ptr<const configuration> configuration_; // by which lists are read
+    // Used by the polling thread only.
+    std::shared_ptr<const configuration> configuration_; // for reading lists
     std::optional<address> address_;
-    tcp_socket socket_;       // the kept connection to the service
-    tcp_socket spare_socket_; // for the next one, so that clients cannot take its descriptor
+    tcp_socket socket_;       // the open connection to the service
+    tcp_socket spare_socket_; // for the next connection, so that clients cannot take its descriptor
     std::vector<char> buffer_;
     std::optional<discovery::poll_schedule> schedule_;
-    std::optional<std::uint64_t> known_revision_; // of the list that it started with
-    bool snapshot_outdated_ = false;              // the list has changed since the file was written
-    double snapshot_tried_at_ = 0;                // Unix time, s
+    std::optional<std::uint64_t> known_revision_; // revision of the list loaded at startup
+    bool snapshot_outdated_ = false;              // the list has changed since the last write
+    double last_snapshot_attempt_at_ = 0;                // Unix time, s
 
     std::atomic<bool> poll_requested_ = true;
     std::atomic<bool> ready_ = false;
-    std::atomic<bool> reconfigured_ = false; // there is a pending_ configuration
+    std::atomic<bool> reconfigured_ = false; // pending_ is set
 };
 
 } // namespace harrierpass::proxy
--- a/src/proxy/discovery/endpoint_registry.cpp
+++ b/src/proxy/discovery/endpoint_registry.cpp
@@ -18,8 +18,9 @@
         return found->second;
     }
     endpoint_index slot(slot_count_);
-    const auto reusable = std::find_if(retired_.begin(), retired_.end(),
-                                       [&](const auto &each) { return !is_referenced_(slots_.at(each)); });
+    const auto reusable = std::find_if(retired_.begin(), retired_.end(), [&](const auto &retired_id) {
+        return !is_referenced_(slots_.at(retired_id));
+    });
     if (reusable != retired_.end()) {
         slot = slots_.at(*reusable);
         slots_.erase(*reusable);
@@ -38,15 +39,15 @@
 
 std::vector<endpoint_index> endpoint_registry::retire_missing(const endpoint_list &list, bool is_snapshot) {
     std::unordered_set<std::string_view> present;
-    for (const auto &each : list.items)
-        if (each.info.state != endpoint_state::removed)
-            present.insert(each.id);
+    for (const auto &entry : list.items)
+        if (entry.info.state != endpoint_state::removed)
+            present.insert(entry.id);
     std::unordered_set<std::string_view> retired(retired_.begin(), retired_.end());
     std::vector<std::string> missing;
-    for (const auto &each : list.items)
-        if (each.info.state == endpoint_state::removed && slots_.contains(each.id) &&
-            retired.insert(each.id).second)
-            missing.push_back(each.id);
+    for (const auto &entry : list.items)
+        if (entry.info.state == endpoint_state::removed && slots_.contains(entry.id) &&
+            retired.insert(entry.id).second)
+            missing.push_back(entry.id);
     if (is_snapshot)
         for (const auto &[id, slot] : slots_)
             if (!present.contains(id) && retired.insert(id).second)
--- a/src/proxy/discovery/operator_overrides.cpp
+++ b/src/proxy/discovery/operator_overrides.cpp
@@ -6,7 +6,7 @@
 namespace harrierpass::proxy {
 namespace {
 
-constexpr double max_warm_up_time = 3600; // s
+constexpr double max_warm_up_time = 3600; // s; no endpoint warms up for longer
 
 } // namespace
 
--- a/src/proxy/discovery/operator_overrides.hpp
+++ b/src/proxy/discovery/operator_overrides.hpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-// Which endpoints operators have disabled, and which of them they have enabled again. Applied to each entry
-// of the endpoint list before the router sees it: a disabled endpoint drains whatever the list says, and one
-// that was enabled again counts as started then, so that it warms up.
+// The endpoints that operators have disabled or enabled again. Applied to each entry of the endpoint list
+// before the router gets it: a disabled endpoint drains whatever its state in the list, and an endpoint that
+// was enabled again counts as started at that time, so that it warms up.
 //
-// Holds no lock and has no clock: the owner serializes the calls and passes the time (Unix time, s).
+// Not synchronized and without a clock: the owner serializes the calls and passes the time (Unix time, s).
 #pragma once
 
 #include "router/types.hpp"
@@ -14,28 +14,29 @@
 
 namespace harrierpass::proxy {
 
-// Copyable, so that another process of this proxy can be told of it.
+// Copyable, so that it can be sent to another process of this proxy.
 class operator_overrides {
 public:
-    // Disables an endpoint, known or not. False: it was disabled already.
+    // Disables an endpoint, which may be unknown. Returns false if it was disabled already.
     bool disable(const std::string &id) { return disabled_.insert(id).second; }
 
-    // Enables a disabled endpoint and records when. False: it was not disabled.
+    // Enables a disabled endpoint and records the time. Returns false if it was not disabled.
     bool enable(const std::string &id, double now);
 
-    // Another process of this proxy enabled the endpoint at that time.
+    // Records that another process of this proxy enabled the endpoint at `enabled_at`.
     void record_enabled(const std::string &id, double enabled_at) { enabled_at_[id] = enabled_at; }
 
     // Whether the endpoint is disabled now.
     [[nodiscard]] bool is_disabled(const std::string &id) const { return disabled_.contains(id); }
 
-    // The entry of the list as the router is to see it.
+    // Returns a list entry with the overrides applied.
     [[nodiscard]] endpoint_info apply(const std::string &id, endpoint_info listed) const;
 
-    // Ids of the disabled endpoints.
+    // The ids of the disabled endpoints.
     [[nodiscard]] const std::set<std::string> &disabled() const { return disabled_; }
 
-    // When endpoints were enabled again, by id. Entries go once no endpoint can still be warming up.
+    // The times at which endpoints were enabled again, by id. Entries are removed once the warm-up must have
+    // ended.
     [[nodiscard]] const std::map<std::string, double> &enabled_at() const { return enabled_at_; }
 
 private:
--- a/src/proxy/discovery/snapshot_file.hpp
+++ b/src/proxy/discovery/snapshot_file.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// The snapshot's file: written beside its place, synced and renamed, so that a process that is killed at any
-// time leaves the last whole one or the next.
+// Reads and writes the snapshot file. It is written under a temporary name, synced and renamed, so that a
+// process that is killed at any time leaves a complete file, old or new.
 #pragma once
 
 #include "discovery/endpoint_snapshot.hpp"
@@ -10,16 +10,19 @@
 
 namespace harrierpass::proxy {
 
-// Replaces the file. False: the old one stands, and errno has the reason.
+// Replaces the file. On failure, returns false, sets errno and keeps the old file.
 bool write_snapshot(const std::string &path, const std::string &text);
 
-// What a snapshot's file holds.
+// The content of a snapshot file.
 struct snapshot_load_result {
-    const char *fault = nullptr; // null: usable; else absent, unreadable, unusable or a snapshot_fault's name
-    json list;                   // in the discovery service's format
-    double age = 0;              // s
+    // Null if the list is usable; otherwise "absent", "unreadable", "unusable" or the name of a
+    // snapshot_fault.
+    const char *fault = nullptr;
+    json list;      // in the format of the discovery service
+    double age = 0; // s
 };
-// Reads the file that the configuration names. `now`: Unix time, s.
+
+// Reads the file at configuration::snapshot_path. `now`: Unix time, s.
 [[nodiscard]] snapshot_load_result load_snapshot(const configuration &settings, double now);
 
 } // namespace harrierpass::proxy
