--- a/src/proxy/client/body_relay.cpp
+++ b/src/proxy/client/body_relay.cpp
@@ -35,8 +35,8 @@
     const relay_limits &limits_;
     const std::function<double()> &now_;
     const std::function<bool()> &cancelled_;
-    bool has_chunks_ = false;  // a chunk has been written
-    double source_wait_ = 0;   // s waited for the source in total; time spent on the sink is not included
+    bool has_chunks_ = false; // a chunk has been written
+    double source_wait_ = 0;  // s waited for the source in total; time spent on the sink is not included
 };
 
 relay_result body_relay::run() {
--- a/src/proxy/client/listener.cpp
+++ b/src/proxy/client/listener.cpp
@@ -30,7 +30,7 @@
 constexpr double first_request_timeout = 2.1; // s; clients' deadlines are shorter
 // s; applies if capacity is short. Some clients send one request and never close.
 constexpr double second_request_timeout = 2.2;
-constexpr double idle_timeout = 30; // s; a client may disappear without closing its connection
+constexpr double idle_timeout = 30;              // s; a client may disappear without closing its connection
 constexpr double no_thread_write_timeout = 0.05; // s for which one response may delay accepting
 
 } // namespace
--- a/src/proxy/configuration.cpp
+++ b/src/proxy/configuration.cpp
@@ -110,12 +110,13 @@
 // the known endpoint list.
 void read_process_fields(const json &document, configuration &result) {
     result.name = document.string_at("name");
-    result.listen = required_string(document, "listen", "the configuration has no listen address");
-    result.discovery =
+    result.listen_address = required_string(document, "listen", "the configuration has no listen address");
+    result.discovery_address =
         required_string(document, "discovery", "the configuration has no address of the discovery service");
-    result.control = document.string_at("control");
-    if (const char *control = std::getenv("BALANCER_CONTROL"); result.control.empty() && control != nullptr)
-        result.control = control;
+    result.control_address = document.string_at("control");
+    if (const char *control = std::getenv("BALANCER_CONTROL");
+        result.control_address.empty() && control != nullptr)
+        result.control_address = control;
     result.seed = read_seed(document);
     if (const json *limits = document.find("limits")) {
         result.memory_mb = std::clamp(limits->number_at("memory_mb", result.memory_mb), 32.0, 1e6);
--- a/src/proxy/configuration.hpp
+++ b/src/proxy/configuration.hpp
@@ -15,14 +15,14 @@
 
 // The configuration of one proxy. Immutable once it is shared between threads.
 struct configuration {
-    std::string name;             // name of this proxy
-    std::string listen;           // address on which clients are accepted
-    std::string discovery;        // address of the discovery service
-    std::string control;          // address of the control server; empty: no control server
-    std::uint32_t seed = 1;       // seed of the random number generators
-    double memory_mb = 192;       // memory limit of the process, MB
-    index max_descriptors = 1024; // descriptor limit of the process
-    json known_endpoints;         // latest endpoint list known to this proxy, in the service's format
+    std::string name;              // name of this proxy
+    std::string listen_address;    // on which clients are accepted
+    std::string discovery_address; // of the discovery service
+    std::string control_address;   // of the control server; empty: no control server
+    std::uint32_t seed = 1;        // seed of the random number generators
+    double memory_mb = 192;        // memory limit of the process, MB
+    index max_descriptors = 1024;  // descriptor limit of the process
+    json known_endpoints;          // latest endpoint list known to this proxy, in the service's format
     router_settings router;
 
     discovery::poll_settings poll; // how the discovery service is polled
--- a/src/proxy/discovery/discovery_client.cpp
+++ b/src/proxy/discovery/discovery_client.cpp
@@ -39,8 +39,8 @@
                                    log &logger)
     : dispatcher_(routing), upstream_(upstreams), counters_(counts), log_(logger),
       registry_([&routing](endpoint_index slot) { return routing.is_referenced(slot); }),
-      configuration_(routing.configuration_in_force()), address_(parse_address(configuration_->discovery)),
-      buffer_(max_list_size) {
+      configuration_(routing.configuration_in_force()),
+      address_(parse_address(configuration_->discovery_address)), buffer_(max_list_size) {
     if (!address_)
         throw parse_error{invalid_address};
 }
@@ -129,7 +129,7 @@
 }
 
 void discovery_client::reconfigure(std::shared_ptr<const configuration> next) {
-    if (!parse_address(next->discovery))
+    if (!parse_address(next->discovery_address))
         throw parse_error{invalid_address};
     {
         const std::lock_guard guard(configuration_lock_);
@@ -179,7 +179,7 @@
         const std::lock_guard guard(configuration_lock_);
         configuration_ = awaiting_list_ = std::exchange(pending_, nullptr);
     }
-    address_ = parse_address(configuration_->discovery);
+    address_ = parse_address(configuration_->discovery_address);
     spare_socket_.close(); // the new address may be of another family
     schedule_->on_settings_changed(dispatcher_.now(), configuration_->poll);
 }
@@ -356,8 +356,8 @@
         return;
     last_snapshot_attempt_at_ = dispatcher_.now();
     const std::string text =
-        discovery::to_text({configuration_->name, configuration_->discovery, last_snapshot_attempt_at_,
-                            write_endpoint_list(current_list(), *configuration_)});
+        discovery::to_text({configuration_->name, configuration_->discovery_address,
+                            last_snapshot_attempt_at_, write_endpoint_list(current_list(), *configuration_)});
     snapshot_outdated_ = !write_snapshot(configuration_->snapshot_path, text);
     counters_.add(snapshot_outdated_ ? counter::snapshots_failed : counter::snapshots_written);
     if (snapshot_outdated_)
--- a/src/proxy/discovery/discovery_client.hpp
+++ b/src/proxy/discovery/discovery_client.hpp
@@ -156,7 +156,7 @@
     std::optional<discovery::poll_schedule> schedule_;
     std::optional<std::uint64_t> known_revision_; // revision of the list loaded at startup
     bool snapshot_outdated_ = false;              // the list has changed since the last write
-    double last_snapshot_attempt_at_ = 0;                // Unix time, s
+    double last_snapshot_attempt_at_ = 0;         // Unix time, s
 
     std::atomic<bool> poll_requested_ = true;
     std::atomic<bool> ready_ = false;
--- a/src/proxy/discovery/snapshot_file.cpp
+++ b/src/proxy/discovery/snapshot_file.cpp
@@ -68,9 +68,9 @@
             return {"unreadable", {}, 0};
         size += static_cast<std::size_t>(received);
     }
-    const auto parsed =
-        discovery::read_snapshot(std::string_view(text).substr(0, size),
-                                 {settings.name, settings.discovery, 0, {}}, now, settings.snapshot_max_age);
+    const auto parsed = discovery::read_snapshot(std::string_view(text).substr(0, size),
+                                                 {settings.name, settings.discovery_address, 0, {}}, now,
+                                                 settings.snapshot_max_age);
     if (parsed.fault != discovery::snapshot_fault::none)
         return {discovery::name_of(parsed.fault), {}, 0};
     try {
--- a/src/proxy/operations/startup_preview.cpp
+++ b/src/proxy/operations/startup_preview.cpp
@@ -29,15 +29,15 @@
 
 void preview_startup(const configuration &settings, double now, std::ostream &output) {
     for (const auto &[what, at] :
-         {std::pair("listen", settings.listen), std::pair("discovery", settings.discovery),
-          std::pair("control", settings.control)})
+         {std::pair("listen", settings.listen_address), std::pair("discovery", settings.discovery_address),
+          std::pair("control", settings.control_address)})
         if (!at.empty() && !parse_address(at))
             throw parse_error{std::string(what) + " " + at + " is no usable address"};
     const bool shared = settings.poll.service == discovery::list_service_kind::shared;
     const auto intervals = discovery::compute_poll_intervals(settings.poll);
-    output << std::setprecision(3) << settings.name << ": listens on " << settings.listen << ", list service "
-           << settings.discovery << ", " << (shared ? "one for all proxies" : "an agent beside this one")
-           << '\n';
+    output << std::setprecision(3) << settings.name << ": listens on " << settings.listen_address
+           << ", list service " << settings.discovery_address << ", "
+           << (shared ? "one for all proxies" : "an agent beside this one") << '\n';
     std::optional<endpoint_list> initial;
     output << "known list: ";
     if (settings.known_endpoints.type == json::kind::object)
--- a/src/proxy/resource_limits.cpp
+++ b/src/proxy/resource_limits.cpp
@@ -32,8 +32,8 @@
     const bool limited = getrlimit(RLIMIT_NOFILE, &limit) == 0 && limit.rlim_cur != RLIM_INFINITY;
     const std::size_t total =
         limited ? std::min<std::size_t>(settings.max_descriptors, limit.rlim_cur) : settings.max_descriptors;
-    const std::size_t reserved =
-        base_descriptors + rejected_client_descriptors + (settings.control.empty() ? 0 : control_descriptors);
+    const std::size_t reserved = base_descriptors + rejected_client_descriptors +
+                                 (settings.control_address.empty() ? 0 : control_descriptors);
     return remaining_descriptors(total, reserved);
 }
 
--- a/src/proxy/service.cpp
+++ b/src/proxy/service.cpp
@@ -38,7 +38,7 @@
                                                                              [this] { return discovery_.ready(); }} {
     mallopt(M_ARENA_MAX, max_allocator_arenas);
     connect_components();
-    const auto listen_address = parse_address(configuration_.listen);
+    const auto listen_address = parse_address(configuration_.listen_address);
     if (!listen_address)
         throw parse_error{"the listen address is invalid"};
     tcp_socket socket = take_over(*listen_address);
@@ -67,22 +67,22 @@
         upstream_.set_timeouts(applied.connect_timeout, applied.upstream_idle_timeout);
         metrics_.register_classes(applied.request_classes);
         counters_.add(counter::configurations_applied);
-        log_.info("adopted discovery=", applied.discovery, " use-cases=", applied.request_classes.size(),
-                  " peers=", applied.router.proxy_count,
+        log_.info("adopted discovery=", applied.discovery_address,
+                  " use-cases=", applied.request_classes.size(), " peers=", applied.router.proxy_count,
                   " origin=", applied.router.origin_kind != none ? "aside" : "through");
     };
 }
 
 tcp_socket service::take_over(const address &listen_address) {
     const char *const directory = std::getenv("TMPDIR");
-    if (configuration_.control.empty() || directory == nullptr || *directory == '\0')
+    if (configuration_.control_address.empty() || directory == nullptr || *directory == '\0')
         return {};
-    hot_restart_.emplace(directory, configuration_.listen);
+    hot_restart_.emplace(directory, configuration_.listen_address);
     auto handover = hot_restart_->take_over();
     if (!handover)
         return {};
     auto &[socket, state] = *handover;
-    const bool any_port = configuration_.listen.ends_with(":0");
+    const bool any_port = configuration_.listen_address.ends_with(":0");
     if (!any_port && to_text(local_address(socket)) != to_text(listen_address)) {
         log_.warning("handover-refused reason=address");
         return {};
@@ -101,7 +101,7 @@
             return socket;
         if (!is_local_shortage(errno) || steady_now() >= deadline)
             throw std::system_error(errno, std::generic_category(),
-                                    "cannot listen on " + configuration_.listen);
+                                    "cannot listen on " + configuration_.listen_address);
         std::this_thread::sleep_for(listen_retry_pause);
     }
 }
@@ -135,14 +135,15 @@
 }
 
 void service::start_control_server() {
-    if (configuration_.control.empty())
+    if (configuration_.control_address.empty())
         return;
-    const auto control_address = parse_address(configuration_.control);
+    const auto control_address = parse_address(configuration_.control_address);
     if (!control_address)
         throw parse_error{"the control address is invalid"};
     tcp_socket socket = listen_on(*control_address);
     if (!socket)
-        throw std::system_error(errno, std::generic_category(), "cannot listen on " + configuration_.control);
+        throw std::system_error(errno, std::generic_category(),
+                                "cannot listen on " + configuration_.control_address);
     control_.emplace(std::move(socket), make_control_handlers());
 }
 
@@ -287,9 +288,9 @@
 // Rejects the whole configuration if it changes a field that is fixed while the process runs.
 void service::reload(const configuration &next) {
     const std::pair<const char *, bool> fixed_fields[] = {
-        {"listen", next.listen == configuration_.listen},
+        {"listen", next.listen_address == configuration_.listen_address},
         {"name", next.name == configuration_.name},
-        {"control", next.control == configuration_.control},
+        {"control", next.control_address == configuration_.control_address},
         {"limits.sockets", next.max_descriptors == configuration_.max_descriptors},
         {"limits.memory_mb", next.memory_mb == configuration_.memory_mb}};
     for (const auto &[field, unchanged] : fixed_fields)
@@ -297,7 +298,7 @@
             throw parse_error{std::string(field) + " cannot change while the program runs"};
     discovery_.reconfigure(std::make_shared<const configuration>(next));
     wake_thread(discovery_thread_->id());
-    log_.info("reloaded discovery=", next.discovery);
+    log_.info("reloaded discovery=", next.discovery_address);
 }
 
 } // namespace harrierpass::proxy
