--- a/src/proxy/service.cpp
+++ b/src/proxy/service.cpp
@@ -38,22 +38,22 @@
                                                                              [this] { return discovery_.ready(); }} {
     mallopt(M_ARENA_MAX, max_allocator_arenas);
     connect_components();
-    const auto listen_address = parse_address(configuration_.listen_address);
-    if (!listen_address)
+    const auto configured_address = parse_address(configuration_.listen_address);
+    if (!configured_address)
         throw parse_error{"the listen address is invalid"};
-    tcp_socket socket = take_over(*listen_address);
+    tcp_socket socket = take_over(*configured_address);
     const bool inherited = static_cast<bool>(socket);
     if (!inherited)
-        socket = listen(*listen_address);
-    client_address_ = local_address(socket);
+        socket = listen(*configured_address);
+    listen_address_ = local_address(socket);
     metrics_.register_classes(configuration_.request_classes);
     discovery_.load_known_endpoints();
     const auto limits = client_limits_for(configuration_, connection_descriptors(configuration_));
     listener_.emplace(context_, std::move(socket), limits.max_connections, limits.reclaim_threshold);
     start_threads(inherited);
-    log_.info("started name=", configuration_.name, " listen=", to_text(client_address_),
+    log_.info("started name=", configuration_.name, " listen=", to_text(listen_address_),
               " clients-at-most=", limits.max_connections,
-              " control=", control_ ? to_text(control_->at()) : "none");
+              " control=", control_ ? to_text(control_->listen_address()) : "none");
 }
 
 service::~service() {
@@ -73,7 +73,7 @@
     };
 }
 
-tcp_socket service::take_over(const address &listen_address) {
+tcp_socket service::take_over(const address &configured_address) {
     const char *const directory = std::getenv("TMPDIR");
     if (configuration_.control_address.empty() || directory == nullptr || *directory == '\0')
         return {};
@@ -83,7 +83,7 @@
         return {};
     auto &[socket, state] = *handover;
     const bool any_port = configuration_.listen_address.ends_with(":0");
-    if (!any_port && to_text(local_address(socket)) != to_text(listen_address)) {
+    if (!any_port && to_text(local_address(socket)) != to_text(configured_address)) {
         log_.warning("handover-refused reason=address");
         return {};
     }
@@ -93,10 +93,10 @@
     return std::move(socket);
 }
 
-tcp_socket service::listen(const address &listen_address) {
+tcp_socket service::listen(const address &configured_address) {
     const double deadline = steady_now() + listen_timeout;
     for (;;) {
-        tcp_socket socket = listen_on(listen_address, hot_restart_.has_value());
+        tcp_socket socket = listen_on(configured_address, hot_restart_.has_value());
         if (socket)
             return socket;
         if (!is_local_shortage(errno) || steady_now() >= deadline)
--- a/src/proxy/service.hpp
+++ b/src/proxy/service.hpp
@@ -43,10 +43,12 @@
     [[nodiscard]] const counters &counts() const { return counters_; }
 
     // The address on which clients are accepted.
-    [[nodiscard]] address client_address() const { return client_address_; }
+    [[nodiscard]] address listen_address() const { return listen_address_; }
 
     // The address of the control server; its size is 0 if there is none.
-    [[nodiscard]] address control_address() const { return control_ ? control_->at() : address{}; }
+    [[nodiscard]] address control_address() const {
+        return control_ ? control_->listen_address() : address{};
+    }
 
     // The largest number of endpoint slots in use at a time.
     [[nodiscard]] std::size_t endpoint_slots() const { return discovery_.slot_count(); }
@@ -61,9 +63,9 @@
     void connect_components();
     // Takes over the listening socket and the operators' state from a running process of this proxy. Returns
     // an empty socket if no process hands one over.
-    tcp_socket take_over(const address &listen_address);
+    tcp_socket take_over(const address &configured_address);
     // Opens a listening socket; retries for listen_timeout. Throws std::system_error.
-    tcp_socket listen(const address &listen_address);
+    tcp_socket listen(const address &configured_address);
     // Starts all threads. `inherited`: the listening socket was taken over from another process.
     void start_threads(bool inherited);
     // Body of the accepting thread. A successor accepts clients once it has an endpoint list.
@@ -101,7 +103,7 @@
     discovery_client discovery_;
     health_checker health_checker_;
     proxy_context context_;
-    address client_address_;
+    address listen_address_;
     std::atomic<bool> stopped_ = false;   // the threads have to stop
     std::atomic<bool> accepting_ = false; // the listener accepts clients
     std::optional<listener> listener_;
