--- a/tests/proxy/endpoint_list_test.cpp
+++ b/tests/proxy/endpoint_list_test.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-TEST_CASE("endpoint list: what is written is read again") {
+TEST_CASE("endpoint list: reading a written list restores every field") {
     const configuration names = named_zones_and_kinds();
     endpoint_list list;
     list.revision = 18446744073709551615U;
@@ -47,7 +47,7 @@
     }
 }
 
-TEST_CASE("endpoint list: entries that cannot be used are left out, texts that are no list are refused") {
+TEST_CASE("endpoint list: invalid entries are skipped, messages that are not a list are rejected") {
     const configuration names = named_zones_and_kinds();
     const endpoint_list list = read_endpoint_list(read_json(R"({"revision":3,"complete":false,"members":[
             {"id":"","host_port":"127.0.0.1:1","phase":"active"},
--- a/tests/proxy/endpoint_registry_test.cpp
+++ b/tests/proxy/endpoint_registry_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// The lifetimes of slots: who holds one, and when it is free for another endpoint.
+// Lifetime of slots: assignment to endpoints, retirement, and reuse for other endpoints.
 #include "proxy/discovery/endpoint_registry.hpp"
 #include "support/index_literals.hpp"
 
@@ -17,16 +17,16 @@
     std::vector<endpoint_index> apply(const endpoint_list &list) {
         if (list.is_snapshot)
             registry.clear_listed();
-        for (const auto &each : list.items) {
-            const bool removed = each.info.state == endpoint_state::removed;
-            if (removed && !registry.slot_of(each.id))
+        for (const auto &entry : list.items) {
+            const bool removed = entry.info.state == endpoint_state::removed;
+            if (removed && !registry.slot_of(entry.id))
                 continue;
-            endpoint_info info = each.info;
-            info.endpoint = registry.acquire_slot(each.id);
+            endpoint_info info = entry.info;
+            info.endpoint = registry.acquire_slot(entry.id);
             if (removed)
-                registry.remove_listed(each.id);
+                registry.remove_listed(entry.id);
             else
-                registry.set_listed(each.id, info, each.host_port);
+                registry.set_listed(entry.id, info, entry.host_port);
         }
         return registry.retire_missing(list, list.is_snapshot);
     }
@@ -64,12 +64,12 @@
     CHECK_FALSE(fixture.registry.slot_of("d"));
 }
 
-TEST_CASE("endpoint registry: a retired slot goes to another endpoint once nothing refers to it") {
+TEST_CASE("endpoint registry: a retired slot is reused for another endpoint once nothing refers to it") {
     registry_fixture fixture;
     fixture.apply_snapshot({"a", "b"});
     fixture.referenced = {0_endpoint};
     CHECK(fixture.apply_snapshot({"b"}) == std::vector{0_endpoint});
-    CHECK(fixture.registry.slot_of("a") == 0_endpoint); // until another endpoint has it
+    CHECK(fixture.registry.slot_of("a") == 0_endpoint); // until another endpoint gets the slot
     CHECK_FALSE(fixture.registry.listed().contains("a"));
     fixture.apply_snapshot({"b", "c"});
     CHECK(fixture.registry.slot_of("c") == 2_endpoint);
@@ -80,7 +80,7 @@
     CHECK(fixture.registry.slot_count() == 3);
 }
 
-TEST_CASE("endpoint registry: an endpoint that returns has its retired slot again") {
+TEST_CASE("endpoint registry: an endpoint that is listed again gets its retired slot") {
     registry_fixture fixture;
     fixture.apply_snapshot({"a", "b"});
     CHECK(fixture.apply_delta({"a"}, endpoint_state::removed) == std::vector{0_endpoint});
@@ -96,16 +96,16 @@
     CHECK(fixture.registry.slot_count() == 1);
 }
 
-TEST_CASE("endpoint registry: a slot is retired once, though a list removes its endpoint twice") {
+TEST_CASE("endpoint registry: a slot is retired once even if a list removes its endpoint twice") {
     registry_fixture fixture;
     fixture.apply_snapshot({"a", "b"});
     CHECK(fixture.apply_delta({"b", "b"}, endpoint_state::removed) == std::vector{1_endpoint});
-    // Each new endpoint has a slot of its own.
+    // Each new endpoint gets a different slot.
     fixture.apply_delta({"c", "d"}, endpoint_state::ready);
     CHECK(fixture.registry.slot_of("c") == 1_endpoint);
     CHECK(fixture.registry.slot_of("d") == 2_endpoint);
 
-    // A snapshot that names a removed endpoint as such.
+    // A snapshot that lists an endpoint as removed.
     auto snapshot = registry_fixture::list_of({"a", "c"}, endpoint_state::ready, true);
     snapshot.items.push_back({"d", "127.0.0.1:1", {}});
     snapshot.items.back().info.state = endpoint_state::removed;
--- a/tests/proxy/listener_test.cpp
+++ b/tests/proxy/listener_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-// The listener's answer to connections for which there is no thread or no memory. The calls of the system
-// that fail, and the allocation of memory, are replaced in this program; they pass everything on unless a
-// test has armed them.
+// The listener's response to connections for which no thread or no memory is available. This program replaces
+// the system calls that have to fail and the allocation functions; the replacements call the original
+// functions unless a test has enabled a fault.
 #include "support/stand.hpp"
 
 #include <array>
@@ -19,12 +19,12 @@
 namespace {
 
 constexpr std::string_view no_thread_status = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\n";
-constexpr std::size_t short_write = 45; // bytes; half of the answer
+constexpr std::size_t short_write = 45; // bytes; half of the response
 
-// What a call of sendmsg() on the faulty connection does.
+// The result of a call of sendmsg() on the faulty connection.
 enum class send_fault : std::uint8_t { no_memory, no_buffers, interrupted, would_block, partial };
 
-// Descriptors are used again for later connections, clients' ports are not.
+// Identifies a connection: descriptors are reused for later connections, clients' ports are not.
 int peer_port(int fd) {
     sockaddr_in peer{};
     socklen_t size = sizeof peer;
@@ -32,15 +32,15 @@
     return ntohs(peer.sin_port);
 }
 
-// Faults of one connection's writes, in order; afterwards its writes succeed.
+// The faults of one connection's writes, in order; later writes succeed.
 struct fault_script {
-    std::atomic<bool> no_threads = false; // detached threads, as the listener starts them, cannot be had
-    std::mutex lock;                      // protects what follows
+    std::atomic<bool> no_threads = false; // creation of detached threads, as the listener uses them, fails
+    std::mutex lock;                      // protects the members below
     std::vector<send_fault> send_faults;
-    std::optional<int> faulty_client; // port of the first client to which the answer is written
+    std::optional<int> faulty_client; // port of the first client to which the response is written
     std::size_t next_fault = 0;
 
-    // The fault of this write; empty: none.
+    // Returns the fault for this write; empty: none.
     std::optional<send_fault> take(int fd, std::string_view text) {
         const std::lock_guard guard(lock);
         if (send_faults.empty())
@@ -59,7 +59,7 @@
     return instance;
 }
 
-// Arms the faults for as long as it lives.
+// Enables the faults during its lifetime.
 class scoped_thread_shortage {
 public:
     explicit scoped_thread_shortage(std::vector<send_fault> send_faults) {
@@ -79,20 +79,20 @@
     scoped_thread_shortage(const scoped_thread_shortage &) = delete;
     scoped_thread_shortage &operator=(const scoped_thread_shortage &) = delete;
 
-    // How many of the faults happened.
+    // The number of faults that have occurred.
     static std::size_t faults_taken() {
         const std::lock_guard guard(script().lock);
         return script().next_fault;
     }
 };
 
-// Which allocations of the listener's thread fail after it has accepted a connection.
+// The allocations that fail in the listener's thread after it has accepted a connection.
 struct allocation_faults {
-    int first = 0;        // counted from 1; 0: none
-    bool lasting = false; // all later ones fail, too, until the thread accepts again
+    int first = 0;        // the first allocation that fails, counted from 1; 0: none
+    bool lasting = false; // all later allocations fail, too, until the thread accepts again
 };
 
-// Memory runs out for the thread that accepts at one port; for as long as this lives.
+// Makes allocations fail in the thread that accepts at one port, during its lifetime.
 class scoped_memory_shortage {
 public:
     scoped_memory_shortage(int port, allocation_faults faults) {
@@ -104,13 +104,13 @@
     scoped_memory_shortage(const scoped_memory_shortage &) = delete;
     scoped_memory_shortage &operator=(const scoped_memory_shortage &) = delete;
 
-    // The calling thread accepted at this port; it has got a connection or not.
+    // Called after accept4() in the calling thread; `has_connection`: whether it returned a connection.
     static void on_accept(int port, bool has_connection) {
         countdown = port == armed_port && has_connection ? first_failure.load() : 0;
         thread_is_short = false;
     }
 
-    // Whether this allocation of the calling thread fails.
+    // Whether the current allocation of the calling thread fails.
     static bool allocation_fails() {
         if (armed_port == 0)
             return false;
@@ -129,10 +129,10 @@
 };
 
 int local_port(int fd) {
-    sockaddr_in at{};
-    socklen_t size = sizeof at;
-    ::getsockname(fd, reinterpret_cast<sockaddr *>(&at), &size);
-    return ntohs(at.sin_port);
+    sockaddr_in local{};
+    socklen_t size = sizeof local;
+    ::getsockname(fd, reinterpret_cast<sockaddr *>(&local), &size);
+    return ntohs(local.sin_port);
 }
 
 int error_of(send_fault fault) {
@@ -155,8 +155,8 @@
 } // namespace
 } // namespace harrierpass::proxy
 
-// Not inlined, as the compiler would take their free() for the wrong partner of `new`.
-// NOLINTBEGIN(cppcoreguidelines-no-malloc): these are the functions that others allocate with.
+// Not inlined: otherwise the compiler would warn of free() for memory from `new`.
+// NOLINTBEGIN(cppcoreguidelines-no-malloc): these are the global allocation functions.
 [[gnu::noinline]] void *operator new(std::size_t size) {
     void *const memory =
         harrierpass::proxy::scoped_memory_shortage::allocation_fails() ? nullptr : std::malloc(size);
@@ -236,7 +236,7 @@
 
 } // namespace
 
-TEST_CASE("listener: a connection without a thread has its whole answer, however it is written") {
+TEST_CASE("listener: a connection without a thread gets the complete response despite write faults") {
     const std::vector<std::vector<send_fault>> cases = {
         {},
         {send_fault::partial},
@@ -260,8 +260,8 @@
     CHECK(fixture.attempt_count() == 0);
 }
 
-// A connection on which nothing can be written is given up, and those that come after it are answered.
-TEST_CASE("listener: an answer that cannot be written does not stop the accepting") {
+// The listener gives up a connection on which nothing can be written, and responds to later connections.
+TEST_CASE("listener: a response that cannot be written does not stop accepting") {
     proxy_fixture fixture;
     {
         const scoped_thread_shortage shortage(std::vector<send_fault>(10000, send_fault::no_memory));
@@ -274,8 +274,9 @@
           "HTTP/1.1 200 [value]");
 }
 
-// What is needed for a connection, in order: its entry, its state, its thread's function, a copy of that.
-TEST_CASE("listener: a connection without memory has its whole answer, and accepting goes on") {
+// The allocations for a connection, in order: its entry, its state, the function of its thread, and a copy of
+// that function.
+TEST_CASE("listener: a connection without memory gets the complete response, and accepting continues") {
     constexpr int allocations = 4;
     proxy_fixture fixture;
     for (const bool lasting : {false, true})
@@ -295,8 +296,8 @@
     CHECK(fixture.attempt_count() == 2 * allocations);
 }
 
-// Operators' tools read these names.
-TEST_CASE("listener: the names of the close reasons in the log") {
+// Operators' tools match these names.
+TEST_CASE("listener: close reasons have stable names in the log") {
     CHECK(log_text(close_reason::reclaimed) == std::string("reclaimed"));
     CHECK(log_text(close_reason::shutting_down) == std::string("draining"));
     CHECK(log_text(close_reason::silent) == std::string("silent"));
--- a/tests/proxy/operator_overrides_test.cpp
+++ b/tests/proxy/operator_overrides_test.cpp
@@ -5,7 +5,7 @@
 
 namespace harrierpass::proxy {
 
-TEST_CASE("operator overrides: a disabled endpoint drains, an enabled one counts as started then") {
+TEST_CASE("operator overrides: a disabled endpoint drains, an enabled one counts as started when enabled") {
     operator_overrides overrides;
     endpoint_info listed;
     listed.started_at = 50;
@@ -28,7 +28,7 @@
     CHECK(overrides.apply("a", listed).started_at == 150);
 }
 
-TEST_CASE("operator overrides: times of enabling are forgotten after the longest warm-up") {
+TEST_CASE("operator overrides: times of enabling are removed after the longest warm-up") {
     operator_overrides overrides;
     overrides.record_enabled("a", 100);
     overrides.disable("b");
