--- a/tests/testbed/cold_start_test.cpp
+++ b/tests/testbed/cold_start_test.cpp
@@ -218,7 +218,7 @@
     const std::string path = folder + "/p0.list";
     configuration given;
     given.name = "p0";
-    given.discovery = "127.0.0.1:1";
+    given.discovery_address = "127.0.0.1:1";
     given.snapshot_path = path;
     given.snapshot_max_age = 1e9;
     const char *const kills = std::getenv("HARRIERPASS_KILLS"); // by hand: 300
