--- a/src/proxy/upstream/upstream_pool.cpp
+++ b/src/proxy/upstream/upstream_pool.cpp
@@ -18,7 +18,7 @@
                                  double started_at, double now) {
     const auto remote_address = parse_address(host_port);
     if (!remote_address)
-        log_.warning("endpoint ", id, " has no usable address: ", host_port);
+        log_.warning("server ", id, " has no usable address: ", host_port);
     bool same_id = false;
     {
         const std::lock_guard guard(lock_);
--- a/tests/testbed/cold_start_test.cpp
+++ b/tests/testbed/cold_start_test.cpp
@@ -168,10 +168,10 @@
         return told.str();
     };
     std::string own = test::read_file(folder + "/p1.json");
-    CHECK(tells(own).find("ready: at once, with that list") != std::string::npos);
+    CHECK(tells(own).find("ready: immediately, with that list") != std::string::npos);
     own.replace(own.find("/p1.list"), 8, "/p2.list");
     CHECK(tells(own).find("refused: foreign") != std::string::npos);
-    CHECK(tells(own).find("first call: the whole list") != std::string::npos);
+    CHECK(tells(own).find("first poll: a snapshot") != std::string::npos);
     std::filesystem::remove_all(folder);
 }
 
