--- a/src/discovery/endpoint_snapshot.cpp
+++ b/src/discovery/endpoint_snapshot.cpp
@@ -12,15 +12,16 @@
 namespace harrierpass::discovery {
 namespace {
 
-// The format: a header line `MAGIC VERSION LENGTH CHECKSUM`, then LENGTH bytes of body: a line each for the
-// proxy's name, the discovery address and the time, and the endpoints.
+// Format: a header line `MAGIC VERSION LENGTH CHECKSUM`, then LENGTH bytes of body. The body has one line
+// each for the proxy name, the discovery address and the time of writing, followed by the endpoints.
 constexpr std::string_view magic = "harrierpass-snapshot";
 constexpr std::string_view version = "1";
 constexpr std::size_t max_header_size = 128; // bytes
 constexpr std::array log_names = {"none",    "torn",    "version",
-                                  "damaged", "foreign", "old"}; // by snapshot_fault
+                                  "damaged", "foreign", "old"}; // indexed by snapshot_fault
 
-// Takes the field up to a delimiter off the text, with the delimiter; empty where there is none.
+// Removes the first field and its delimiter from `text` and returns the field. Without a delimiter, the
+// result is empty and all of the text is removed.
 std::string_view take_field(std::string_view &text, char delimiter) {
     const auto end = text.find(delimiter);
     if (end == std::string_view::npos) {
@@ -38,17 +39,18 @@
     return text.str();
 }
 
-// The body's fields. Throws parse_error.
+// Parses the fields of the body. Throws parse_error.
 endpoint_snapshot parse_body(std::string_view body) {
     endpoint_snapshot snapshot;
     snapshot.proxy_name = take_field(body, '\n');
     snapshot.discovery_address = take_field(body, '\n');
-    snapshot.written_at = parse_number<double>(take_field(body, '\n'), "no time");
+    snapshot.written_at = parse_number<double>(take_field(body, '\n'), "the time of writing is not a number");
     snapshot.endpoints = body;
     return snapshot;
 }
 
-// The fault of a text's form, checked in the order of its fields; fills `snapshot` where there is none.
+// Checks header and body in the order of their fields and returns the first fault. Fills `snapshot` if there
+// is none.
 snapshot_fault parse_snapshot(std::string_view text, endpoint_snapshot &snapshot) {
     const std::size_t header_size = text.find('\n');
     std::string_view header = text.substr(0, std::min(header_size, max_header_size));
@@ -60,7 +62,7 @@
         return snapshot_fault::unknown_version;
     const std::string_view body = text.substr(header_size + 1);
     try {
-        if (parse_number<std::size_t>(take_field(header, ' '), "no length") != body.size())
+        if (parse_number<std::size_t>(take_field(header, ' '), "the length is not a number") != body.size())
             return snapshot_fault::truncated;
         if (header != checksum(body))
             return snapshot_fault::checksum_mismatch;
@@ -95,14 +97,14 @@
     return text.str();
 }
 
-snapshot_read_result read_snapshot(std::string_view text, const endpoint_snapshot &reader, double now,
+snapshot_read_result read_snapshot(std::string_view text, const endpoint_snapshot &expected, double now,
                                    double max_age) {
     snapshot_read_result result;
     const snapshot_fault fault = parse_snapshot(text, result.snapshot);
     if (fault != snapshot_fault::none)
         return rejected(fault);
-    if (result.snapshot.proxy_name != reader.proxy_name ||
-        result.snapshot.discovery_address != reader.discovery_address)
+    if (result.snapshot.proxy_name != expected.proxy_name ||
+        result.snapshot.discovery_address != expected.discovery_address)
         return rejected(snapshot_fault::other_source);
     result.age = std::max(0.0, now - result.snapshot.written_at);
     return result.age > max_age ? rejected(snapshot_fault::expired) : result;
--- a/src/discovery/poll_intervals.cpp
+++ b/src/discovery/poll_intervals.cpp
@@ -6,20 +6,20 @@
 namespace harrierpass::discovery {
 namespace {
 
-// Of the service's capacity, as a multiple, that first polls may take: most of a fleet has a list and only
-// watches, and who is rejected is told when to retry.
+// Multiple of the service's snapshot capacity that the first polls of a fleet may request. It may exceed 1
+// because most proxies have a cached list and only watch, and a rejected poll gets a Retry-After.
 constexpr double initial_overload = 5;
-constexpr double min_backoff = 0.5;            // s
-constexpr double default_poll_interval = 30;   // s, also the longest
-constexpr double watch_share = 0.7;            // of the poll interval, for a watch to wait
-constexpr double response_share = 0.3;         // of the poll interval, for the response
-constexpr double max_watch_timeout = 20;       // s; a connection that was cut silently is noticed after this
-constexpr double max_response_timeout = 5;     // s
-constexpr double min_watch_delay_limit = 0.15; // s; within 0.2 s the protocol continues the same watch
-constexpr double max_watch_delay_limit = 1;    // s; half of what a drain is commonly given
-constexpr double watches_per_snapshot = 20;    // watches that the service opens in the time of a snapshot
+constexpr double min_backoff = 0.5;          // in seconds
+constexpr double default_poll_interval = 30; // in seconds; also the maximum
+constexpr double watch_share = 0.7;          // share of the poll interval that a watch waits
+constexpr double response_share = 0.3;       // share of the poll interval for the response
+constexpr double max_watch_timeout = 20;     // in seconds; a silently broken connection is detected after it
+constexpr double max_response_timeout = 5;   // in seconds
+constexpr double min_watch_delay_limit = 0.15; // in seconds; the protocol continues a watch within 0.2 s
+constexpr double max_watch_delay_limit = 1;    // in seconds; half of a common drain time
+constexpr double watches_per_snapshot = 20;    // watches that the service opens in the time of one snapshot
 
-// With an agent beside the proxy only the timeouts count.
+// Sets only the timeouts, as polls of a local agent are not spread.
 poll_intervals agent_intervals(const poll_settings &settings) {
     poll_intervals intervals;
     intervals.watch_timeout = settings.agent_watch_timeout;
@@ -35,7 +35,7 @@
     const double poll_interval = settings.max_poll_interval > 0
                                      ? std::min(settings.max_poll_interval, default_poll_interval)
                                      : default_poll_interval;
-    // s of the service's work for a snapshot to every proxy.
+    // Seconds that the service needs to send a snapshot to every proxy.
     const double fleet_snapshot_time = settings.proxy_count / settings.snapshots_per_second;
     poll_intervals intervals;
     intervals.watch_timeout = std::min(max_watch_timeout, poll_interval * watch_share);
--- a/src/discovery/poll_schedule.cpp
+++ b/src/discovery/poll_schedule.cpp
@@ -10,14 +10,16 @@
 namespace {
 
 constexpr double never = std::numeric_limits<double>::infinity();
-constexpr double rejected_window_growth = 1.5; // with each rejection
-constexpr double backoff_growth = 2;           // with each failure
-constexpr double max_retry_after = 60;         // s; a longer advice is taken for another unit
-constexpr double poll_rate = 1;                // tokens a second of the poll budget
-constexpr double poll_burst = 20;              // tokens; a list that changes all the time is read in steps
-constexpr double min_watch_share = 0.8; // of watch_timeout; random, so that watches do not end together
-constexpr unsigned long long discarded_draws = 8; // the first of nearby seeds are alike
-constexpr std::array log_names = {"empty", "known", "current", "doubtful"}; // by poll_state
+constexpr double rejected_window_growth = 1.5; // factor per rejection
+constexpr double backoff_growth = 2;           // factor per failure
+constexpr double max_retry_after = 60;         // in seconds; a larger value is assumed to be in another unit
+constexpr double poll_rate = 1;                // tokens per second added to the poll budget
+constexpr double poll_burst = 20;              // tokens; limits the polls for a list that changes constantly
+// Minimum share of watch_timeout. The random share keeps watches from ending at the same time.
+constexpr double min_watch_share = 0.8;
+// The first random numbers of adjacent seeds are similar.
+constexpr unsigned long long discarded_draws = 8;
+constexpr std::array log_names = {"empty", "known", "current", "doubtful"}; // indexed by poll_state
 
 } // namespace
 
@@ -87,7 +89,7 @@
     reset_delays();
     const bool is_trusted = is_agent() || state_ == poll_state::no_endpoints;
     const implausibility previous =
-        std::exchange(implausibility_, is_trusted ? implausibility::none : assess(facts));
+        std::exchange(implausibility_, is_trusted ? implausibility::none : find_implausibility(facts));
     if (implausibility_ != implausibility::none && !confirm(previous, facts)) {
         state_ = poll_state::awaiting_confirmation;
         schedule_poll(now, intervals_.initial_poll_window * random_fraction());
@@ -103,7 +105,7 @@
 bool poll_schedule::confirm(implausibility previous, const snapshot_facts &facts) {
     const bool is_repeated =
         previous == implausibility_ && facts.is_snapshot && facts.revision >= implausible_revision_;
-    // Only snapshots confirm: a watch's response with an older revision means that a snapshot is due.
+    // Only snapshots confirm. A watch response with an older revision means that a snapshot is needed.
     if (!facts.is_snapshot)
         confirmations_ = 0;
     else
@@ -115,7 +117,7 @@
 void poll_schedule::on_rejected(double now, double retry_after) {
     if (is_agent())
         return on_failure(now);
-    // With a list the window is limited, as a proxy that serves has to hear of drains.
+    // The window is limited for a proxy that has a list, because it serves requests and must notice drains.
     const double window = state_ == poll_state::no_endpoints
                               ? rejected_window_
                               : std::min(rejected_window_, intervals_.max_backoff);
--- a/src/discovery/snapshot_plausibility.cpp
+++ b/src/discovery/snapshot_plausibility.cpp
@@ -6,15 +6,15 @@
 namespace harrierpass::discovery {
 namespace {
 
-constexpr std::size_t min_known_endpoints = 4; // fewer may well be replaced all at once
-constexpr std::size_t max_missing_factor = 2;  // a list has to name one in so many of the known
+constexpr std::size_t min_known_endpoints = 4; // a smaller set may be replaced all at once
+constexpr std::size_t max_missing_factor = 2;  // a list must contain one in this many known endpoints
 constexpr index usual_confirmations = 2;
-constexpr index empty_confirmations = 3; // believing an empty list stops all traffic
-constexpr std::array log_names = {"no", "empty", "shrunk", "foreign", "older"}; // by implausibility
+constexpr index empty_confirmations = 3; // accepting an empty list stops all traffic
+constexpr std::array log_names = {"no", "empty", "shrunk", "foreign", "older"}; // indexed by implausibility
 
 } // namespace
 
-implausibility assess(const snapshot_facts &facts) {
+implausibility find_implausibility(const snapshot_facts &facts) {
     if (facts.revision < facts.known_revision)
         return implausibility::outdated;
     if (!facts.is_snapshot || facts.known_endpoints == 0)
--- a/tests/discovery/poll_intervals_test.cpp
+++ b/tests/discovery/poll_intervals_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// The intervals of polls, as they follow from a deployment's settings.
+// Tests the poll intervals that result from a deployment's settings.
 #include "discovery/poll_intervals.hpp"
 
 #include <doctest/doctest.h>
@@ -16,7 +16,7 @@
 
 } // namespace
 
-TEST_CASE("poll intervals: an agent's polls have its timeouts and are not spread") {
+TEST_CASE("poll intervals: polls of an agent use the configured timeouts and are not spread") {
     const poll_intervals intervals = compute_poll_intervals({.service = list_service_kind::agent,
                                                              .proxy_count = 300,
                                                              .max_poll_interval = 10,
@@ -31,8 +31,8 @@
     CHECK(intervals.max_watch_delay == 0);
 }
 
-// 300 proxies take 15 s of a service that makes 20 snapshots a second.
-TEST_CASE("poll intervals: windows grow with the fleet") {
+// A service that sends 20 snapshots per second needs 15 s for 300 proxies.
+TEST_CASE("poll intervals: windows grow with the proxy count") {
     const poll_intervals intervals = compute_poll_intervals(fleet_of(300));
     CHECK(intervals.initial_poll_window == doctest::Approx(3));
     CHECK(intervals.rejected_poll_window == doctest::Approx(15));
@@ -41,19 +41,19 @@
     CHECK(intervals.max_watch_delay == doctest::Approx(0.75));
 }
 
-TEST_CASE("poll intervals: bounds hold for the smallest fleet and for the largest") {
+TEST_CASE("poll intervals: bounds hold for the smallest and the largest fleet") {
     const poll_intervals smallest = compute_poll_intervals(fleet_of(1));
     CHECK(smallest.initial_poll_window == doctest::Approx(0.01));
     CHECK(smallest.min_backoff == doctest::Approx(0.5));
     CHECK(smallest.max_watch_delay == doctest::Approx(0.15));
     const poll_intervals largest = compute_poll_intervals(fleet_of(65536));
-    CHECK(largest.initial_poll_window == doctest::Approx(5)); // half of the interval
+    CHECK(largest.initial_poll_window == doctest::Approx(5)); // half of the poll interval
     CHECK(largest.min_backoff == doctest::Approx(5));
     CHECK(largest.max_backoff == doctest::Approx(10));
     CHECK(largest.max_watch_delay == doctest::Approx(1));
 }
 
-// A drain may go unnoticed for a watch and the wait for its response together.
+// A drain can go unnoticed for the watch timeout and the response timeout together.
 TEST_CASE("poll intervals: a watch and its response end within the poll interval") {
     for (const double interval : {0.5, 1.0, 5.0, 10.0, 30.0, 600.0}) {
         CAPTURE(interval);
@@ -66,7 +66,7 @@
     }
 }
 
-TEST_CASE("poll intervals: without a known interval, and with a long one, it is 30 s") {
+TEST_CASE("poll intervals: the poll interval is 30 s if the maximum is unknown or longer") {
     for (const double interval : {0.0, 30.0, 600.0}) {
         CAPTURE(interval);
         const poll_intervals intervals = compute_poll_intervals(fleet_of(300, interval));
--- a/tests/discovery/snapshot_plausibility_test.cpp
+++ b/tests/discovery/snapshot_plausibility_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Which endpoint lists are implausible, and how often they have to be repeated.
+// Tests which endpoint lists are implausible and how many confirmations they need.
 #include "discovery/snapshot_plausibility.hpp"
 
 #include <doctest/doctest.h>
@@ -8,8 +8,8 @@
 namespace harrierpass::discovery {
 namespace {
 
-// A newer snapshot that names so many endpoints, of which so many were known.
-snapshot_facts newer(std::size_t known, std::size_t named, std::size_t common) {
+// A snapshot with a newer_snapshot revision. `common` is the number of known endpoints that it contains.
+snapshot_facts newer_snapshot(std::size_t known, std::size_t named, std::size_t common) {
     return {.is_snapshot = true,
             .revision = 42,
             .known_revision = 41,
@@ -30,32 +30,33 @@
 
 } // namespace
 
-TEST_CASE("plausibility: a snapshot that names most of the known endpoints is plausible") {
-    CHECK(assess(newer(50, 50, 50)) == implausibility::none);
-    CHECK(assess(newer(50, 80, 50)) == implausibility::none);
-    CHECK(assess(newer(50, 25, 25)) == implausibility::none);
-    CHECK(assess(newer(50, 24, 24)) == implausibility::mostly_missing);
-    CHECK(assess(newer(50, 50, 1)) == implausibility::mostly_missing);
-    CHECK(assess(newer(50, 50, 0)) == implausibility::unrelated);
-    CHECK(assess(newer(50, 0, 0)) == implausibility::empty);
+TEST_CASE("plausibility: a snapshot is plausible if it contains at least half of the known endpoints") {
+    CHECK(find_implausibility(newer_snapshot(50, 50, 50)) == implausibility::none);
+    CHECK(find_implausibility(newer_snapshot(50, 80, 50)) == implausibility::none);
+    CHECK(find_implausibility(newer_snapshot(50, 25, 25)) == implausibility::none);
+    CHECK(find_implausibility(newer_snapshot(50, 24, 24)) == implausibility::mostly_missing);
+    CHECK(find_implausibility(newer_snapshot(50, 50, 1)) == implausibility::mostly_missing);
+    CHECK(find_implausibility(newer_snapshot(50, 50, 0)) == implausibility::unrelated);
+    CHECK(find_implausibility(newer_snapshot(50, 0, 0)) == implausibility::empty);
 }
 
-TEST_CASE("plausibility: few endpoints may be replaced at once, but not by none") {
-    CHECK(assess(newer(3, 3, 0)) == implausibility::none);
-    CHECK(assess(newer(4, 4, 0)) == implausibility::unrelated);
-    CHECK(assess(newer(1, 0, 0)) == implausibility::empty);
-    CHECK(assess(newer(0, 0, 0)) == implausibility::none);
-    CHECK(assess(newer(0, 50, 0)) == implausibility::none);
+TEST_CASE("plausibility: fewer than four endpoints may be replaced at once, but not removed at once") {
+    CHECK(find_implausibility(newer_snapshot(3, 3, 0)) == implausibility::none);
+    CHECK(find_implausibility(newer_snapshot(4, 4, 0)) == implausibility::unrelated);
+    CHECK(find_implausibility(newer_snapshot(1, 0, 0)) == implausibility::empty);
+    CHECK(find_implausibility(newer_snapshot(0, 0, 0)) == implausibility::none);
+    CHECK(find_implausibility(newer_snapshot(0, 50, 0)) == implausibility::none);
 }
 
-TEST_CASE("plausibility: an older revision is implausible, in a delta, too") {
-    CHECK(assess(with_revision(newer(50, 50, 50), 41)) == implausibility::none);
-    CHECK(assess(with_revision(newer(50, 50, 50), 40)) == implausibility::outdated);
-    CHECK(assess(as_delta(with_revision(newer(50, 1, 1), 40))) == implausibility::outdated);
-    CHECK(assess(as_delta(newer(50, 0, 0))) == implausibility::none);
+TEST_CASE("plausibility: an older revision is implausible in snapshots and deltas") {
+    CHECK(find_implausibility(with_revision(newer_snapshot(50, 50, 50), 41)) == implausibility::none);
+    CHECK(find_implausibility(with_revision(newer_snapshot(50, 50, 50), 40)) == implausibility::outdated);
+    CHECK(find_implausibility(as_delta(with_revision(newer_snapshot(50, 1, 1), 40))) ==
+          implausibility::outdated);
+    CHECK(find_implausibility(as_delta(newer_snapshot(50, 0, 0))) == implausibility::none);
 }
 
-TEST_CASE("plausibility: an empty list takes most confirmations") {
+TEST_CASE("plausibility: an empty list needs the most confirmations") {
     CHECK(confirmations_needed(implausibility::none) == 1);
     CHECK(confirmations_needed(implausibility::mostly_missing) == 2);
     CHECK(confirmations_needed(implausibility::unrelated) == 2);
@@ -63,8 +64,8 @@
     CHECK(confirmations_needed(implausibility::empty) == 3);
 }
 
-// Operators read these names.
-TEST_CASE("plausibility: the names in the log") {
+// Operators search logs for these names.
+TEST_CASE("plausibility: every reason has its name for logs") {
     CHECK(name_of(implausibility::none) == std::string("no"));
     CHECK(name_of(implausibility::empty) == std::string("empty"));
     CHECK(name_of(implausibility::mostly_missing) == std::string("shrunk"));
