--- a/src/subsets/coverage_report.cpp
+++ b/src/subsets/coverage_report.cpp
@@ -23,7 +23,7 @@
         selected.push_back(endpoint);
     }
     const std::vector<double> usable_shares(distances.size(), 1.0);
-    selected.resize(compute_subset_reach(distances, usable_shares, 1, proxy.level).wanted);
+    selected.resize(compute_subset_reach(distances, usable_shares, 1, proxy.level).target_count);
     return selected;
 }
 
@@ -43,12 +43,12 @@
         total_rate += proxies[i].attempt_rate;
         for (const index id : selected) {
             const double rate = proxies[i].attempt_rate * endpoints[id].weight / selected_weight;
-            // The share of attempts before which the connection was idle for too long.
-            const double expired = std::exp(-costs.idle_timeout * rate);
+            // Share of attempts whose connection has reached the idle timeout.
+            const double expired_share = std::exp(-costs.idle_timeout * rate);
             ++report.proxies_per_endpoint[id];
             report.relative_load[id] += rate;
-            report.idle_connections[id] += 1 - expired;
-            report.new_connections_per_attempt += rate * expired;
+            report.idle_connections[id] += 1 - expired_share;
+            report.new_connections_per_attempt += rate * expired_share;
         }
     }
     for (std::size_t id = 0; id < endpoints.size() && total_rate > 0; ++id)
--- a/src/subsets/endpoint_selection.cpp
+++ b/src/subsets/endpoint_selection.cpp
@@ -10,9 +10,10 @@
 namespace harrierpass::subsets {
 namespace {
 
-constexpr double narrowing_share = 0.3;       // of the endpoints too many, left out by one selection
-constexpr double dispatch_weight = 0.06;      // of one request in the share that found no capacity
-constexpr double no_capacity_threshold = 0.5; // of the requests; a lower share is the whole fleet's load
+constexpr double narrowing_share = 0.3;  // share of the excess endpoints that one selection removes
+constexpr double dispatch_weight = 0.06; // weight of one request in no_capacity_share_
+// Share of requests. Lower shares result from the load of the whole fleet.
+constexpr double no_capacity_threshold = 0.5;
 
 } // namespace
 
@@ -20,12 +21,12 @@
     : settings_(settings), disabled_(subsetting_never_helps(settings)) {}
 
 void endpoint_selection::update_settings(const router_settings &settings) {
-    const bool number_changed = settings.proxy_index != settings_.proxy_index;
+    const bool proxy_index_changed = settings.proxy_index != settings_.proxy_index;
     settings_ = settings;
     disabled_ = subsetting_never_helps(settings);
     if (disabled_)
         level_ = 0;
-    if (!number_changed || settings_.proxy_index == none)
+    if (!proxy_index_changed || settings_.proxy_index == none)
         return;
     for (auto &endpoint : endpoints_)
         endpoint.distance = distance_to(endpoint.id);
@@ -46,8 +47,8 @@
         endpoint.is_selected = false;
     }
     endpoint.info = entry;
-    endpoint.info.id = {}; // its text belongs to the caller
-    endpoint.named_by_list = true;
+    endpoint.info.id = {}; // the caller owns the text
+    endpoint.is_in_update = true;
 }
 
 void endpoint_selection::rank_endpoints() {
@@ -67,34 +68,35 @@
 }
 
 void endpoint_selection::select_endpoints(double now, selection_mode mode, const traffic_estimator &traffic,
-                                          const router &ejecting) {
-    const std::size_t wanted = wanted_count(now, ejecting);
+                                          const router &inner_router) {
+    const std::size_t target = target_count(now, inner_router);
     std::size_t nearest = std::min(ranked_.size(), nearest_count_);
-    is_too_wide_ = nearest > wanted;
+    is_too_wide_ = nearest > target;
     if (mode == selection_mode::may_narrow && is_too_wide_)
         nearest -=
-            static_cast<std::size_t>(std::ceil(static_cast<double>(nearest - wanted) * narrowing_share));
-    nearest_count_ = disabled_ ? ranked_.size() : std::max(nearest, wanted);
+            static_cast<std::size_t>(std::ceil(static_cast<double>(nearest - target) * narrowing_share));
+    nearest_count_ = disabled_ ? ranked_.size() : std::max(nearest, target);
     apply_selection(traffic);
 }
 
-std::size_t endpoint_selection::wanted_count(double now, const router &ejecting) {
+std::size_t endpoint_selection::target_count(double now, const router &inner_router) {
     distances_.clear();
     usable_shares_.clear();
-    double listed_sum = 0;
+    double listed_share_sum = 0;
     for (const endpoint_index id : ranked_) {
         distances_.push_back(endpoints_[id].distance);
-        usable_shares_.push_back(usable_share(now, id, ejecting));
-        listed_sum += listed_share(now, id);
+        usable_shares_.push_back(usable_share(now, id, inner_router));
+        listed_share_sum += listed_share(now, id);
     }
-    const double mean_share = ranked_.empty() ? 1 : listed_sum / static_cast<double>(ranked_.size());
+    const double mean_share = ranked_.empty() ? 1 : listed_share_sum / static_cast<double>(ranked_.size());
     const subset_reach reach = compute_subset_reach(distances_, usable_shares_, mean_share, level_);
 
-    const bool lacked_endpoints = std::exchange(lacks_usable_endpoints_, reach.wanted > reach.preferred);
+    const bool lacked_endpoints =
+        std::exchange(lacks_usable_endpoints_, reach.target_count > reach.preferred_count);
     widened_for_availability_ += !lacked_endpoints && lacks_usable_endpoints_;
     const bool lacked_capacity = std::exchange(lacks_capacity_, no_capacity_share_ > no_capacity_threshold);
     widened_for_capacity_ += !lacked_capacity && lacks_capacity_;
-    return std::min(ranked_.size(), lacks_capacity_ ? 2 * reach.wanted : reach.wanted);
+    return std::min(ranked_.size(), lacks_capacity_ ? 2 * reach.target_count : reach.target_count);
 }
 
 void endpoint_selection::apply_selection(const traffic_estimator &traffic) {
@@ -104,8 +106,8 @@
         const bool selected =
             i < nearest_count_ || (endpoint.is_selected && traffic.in_flight(ranked_[i]) > 0);
         endpoint.selection_changed = endpoint.is_selected != selected;
-        added_ += endpoint.selection_changed && selected;
-        removed_ += endpoint.selection_changed && !selected;
+        endpoints_added_ += endpoint.selection_changed && selected;
+        endpoints_removed_ += endpoint.selection_changed && !selected;
         endpoint.is_selected = selected;
         selected_count_ += selected;
     }
@@ -135,9 +137,9 @@
     std::vector<endpoint_info> updates;
     for (endpoint_index id{0}; id < endpoints_.end_index(); ++id) {
         auto &endpoint = endpoints_[id];
-        const bool named = std::exchange(endpoint.named_by_list, false);
+        const bool is_listed = std::exchange(endpoint.is_in_update, false);
         const bool changed = std::exchange(endpoint.selection_changed, false);
-        if (!named && !(changed && endpoint.info.state == endpoint_state::ready))
+        if (!is_listed && !(changed && endpoint.info.state == endpoint_state::ready))
             continue;
         updates.push_back(reported_entry(id));
         endpoint.is_reported = true;
@@ -155,7 +157,7 @@
 
 void endpoint_selection::discard_updates() {
     for (auto &endpoint : endpoints_)
-        endpoint.named_by_list = endpoint.selection_changed = false;
+        endpoint.is_in_update = endpoint.selection_changed = false;
 }
 
 bool endpoint_selection::is_selected(endpoint_index endpoint) const {
@@ -166,8 +168,8 @@
     return {.ready_endpoints = static_cast<index>(ranked_.size()),
             .selected_endpoints = selected_count_,
             .level = level_,
-            .endpoints_added = added_,
-            .endpoints_removed = removed_,
+            .endpoints_added = endpoints_added_,
+            .endpoints_removed = endpoints_removed_,
             .widened_for_availability = widened_for_availability_,
             .widened_for_capacity = widened_for_capacity_};
 }
@@ -191,12 +193,13 @@
 
 double endpoint_selection::listed_share(double now, endpoint_index endpoint) const {
     const double started_at = endpoints_[endpoint].info.started_at;
-    const bool warms_up = started_at > 0 && now - started_at < settings_.slow_start.warm_up_time;
-    return warms_up ? settings_.slow_start.initial_capacity_share : 1;
+    const bool is_warming_up = started_at > 0 && now - started_at < settings_.slow_start.warm_up_time;
+    return is_warming_up ? settings_.slow_start.initial_capacity_share : 1;
 }
 
-double endpoint_selection::usable_share(double now, endpoint_index endpoint, const router &ejecting) const {
-    if (endpoints_[endpoint].is_reported && ejecting.is_ejected(endpoint))
+double endpoint_selection::usable_share(double now, endpoint_index endpoint,
+                                        const router &inner_router) const {
+    if (endpoints_[endpoint].is_reported && inner_router.is_ejected(endpoint))
         return 0;
     return listed_share(now, endpoint);
 }
--- a/src/subsets/subset_router.cpp
+++ b/src/subsets/subset_router.cpp
@@ -7,15 +7,16 @@
 namespace harrierpass::subsets {
 namespace {
 
-constexpr std::uint64_t requests_per_level_review = 8;  // a proxy's own, so that a fleet never moves in step
-constexpr std::uint64_t timers_per_ejection_review = 4; // of the inner router; some 0.2 s
+// Counted per proxy, so that proxies do not change their levels at the same time.
+constexpr std::uint64_t requests_per_level_review = 8;
+constexpr std::uint64_t timers_per_ejection_review = 4; // timers of the inner router; about 0.2 s
 
-// Forwards every event to the inner router and its actions to the caller, and reports to it only the
-// endpoints of the subset.
+// Forwards every event to the inner router and the inner router's actions to the caller. Reports only the
+// endpoints of the subset as ready.
 class subset_router final : public router {
 public:
     subset_router(const router_settings &settings, std::uint32_t seed, double now)
-        : settings_(settings), inner_(make_router(settings, seed, now)), selection_(settings) {
+        : settings_(settings), inner_router_(make_router(settings, seed, now)), selection_(settings) {
         forward_actions(now);
     }
 
@@ -24,16 +25,16 @@
         if (kind != endpoint_update_kind::poll_failed)
             update_selection(now, kind, entries);
         if (kind == endpoint_update_kind::poll_failed || selection_.is_disabled())
-            inner_->on_endpoints_updated(now, kind, entries);
+            inner_router_->on_endpoints_updated(now, kind, entries);
         else
-            inner_->on_endpoints_updated(now, kind, selection_.take_list_updates());
+            inner_router_->on_endpoints_updated(now, kind, selection_.take_list_updates());
         forward_actions(now);
     }
 
     void on_request(double now, const request_info &request) override {
         traffic_.on_request(now, request.request, settings_.request_classes[request.class_id.value()]);
         const auto attempts_before = attempt_count_;
-        inner_->on_request(now, request);
+        inner_router_->on_request(now, request);
         forward_actions(now);
         if (selection_.is_disabled())
             return;
@@ -48,33 +49,33 @@
     void on_attempt_finished(double now, request_index request, attempt_number attempt, outcome result,
                              bool is_final, bool fetched, const load_report &report) override {
         traffic_.on_attempt_finished(now, request, attempt, result == outcome::completed, fetched);
-        inner_->on_attempt_finished(now, request, attempt, result, is_final, fetched, report);
+        inner_router_->on_attempt_finished(now, request, attempt, result, is_final, fetched, report);
         forward_actions(now);
     }
 
     void on_response_started(double now, request_index request, bool fetched) override {
-        inner_->on_response_started(now, request, fetched);
+        inner_router_->on_response_started(now, request, fetched);
         forward_actions(now);
     }
 
     void on_request_body_sent(double now, request_index request, double deadline) override {
-        inner_->on_request_body_sent(now, request, deadline);
+        inner_router_->on_request_body_sent(now, request, deadline);
         forward_actions(now);
     }
 
     void on_client_disconnected(double now, request_index request) override {
-        inner_->on_client_disconnected(now, request);
+        inner_router_->on_client_disconnected(now, request);
         forward_actions(now);
     }
 
     void on_health_check_finished(double now, endpoint_index endpoint, bool answered,
                                   const load_report &report) override {
-        inner_->on_health_check_finished(now, endpoint, answered, report);
+        inner_router_->on_health_check_finished(now, endpoint, answered, report);
         forward_actions(now);
     }
 
     void on_timer(double now) override {
-        inner_->on_timer(now);
+        inner_router_->on_timer(now);
         forward_actions(now);
         if (++timer_count_ % timers_per_ejection_review == 0)
             reconsider_selection(now, selection_mode::widen_only);
@@ -83,25 +84,25 @@
     void update_settings(double now, const router_settings &settings) override {
         settings_ = settings;
         selection_.update_settings(settings);
-        inner_->update_settings(now, settings);
+        inner_router_->update_settings(now, settings);
         forward_actions(now);
     }
 
     double attempt_write_deadline(request_index request) const override {
-        return inner_->attempt_write_deadline(request);
+        return inner_router_->attempt_write_deadline(request);
     }
 
-    // An endpoint outside the subset is checked by nobody any more, so its ejection is not counted.
+    // The ejection of an endpoint outside the subset does not count, as its health is no longer checked.
     bool avoids_endpoint(endpoint_index endpoint) const override {
-        return selection_.is_selected(endpoint) && inner_->avoids_endpoint(endpoint);
+        return selection_.is_selected(endpoint) && inner_router_->avoids_endpoint(endpoint);
     }
 
-    bool is_ejected(endpoint_index endpoint) const override { return inner_->is_ejected(endpoint); }
+    bool is_ejected(endpoint_index endpoint) const override { return inner_router_->is_ejected(endpoint); }
 
     subset_view subset() const override { return selection_.view(); }
 
 private:
-    // Applies a list to the selection.
+    // Applies an endpoint list to the selection.
     void update_selection(double now, endpoint_update_kind kind, std::span<const endpoint_info> entries) {
         if (is_snapshot(kind))
             selection_.begin_snapshot();
@@ -110,44 +111,45 @@
         selection_.rank_endpoints();
         if (!selection_.is_disabled() && !traffic_.has_enough_samples())
             selection_.use_initial_level();
-        selection_.select_endpoints(now, selection_mode::widen_only, traffic_, *inner_);
+        selection_.select_endpoints(now, selection_mode::widen_only, traffic_, *inner_router_);
         if (selection_.is_disabled())
             selection_.discard_updates();
     }
 
-    // Selects anew between two lists. The inner router hears of changes only, as each report costs it a new
-    // ring, and hears of them as local ones, which do not count as word from the list service.
+    // Updates the selection between two endpoint lists. Reports only changed endpoints to the inner router,
+    // as it rebuilds its ring after each report. The kind of the update is local, so that it does not count
+    // as a response of the discovery service.
     void reconsider_selection(double now, selection_mode mode) {
         if (selection_.is_disabled())
             return;
-        selection_.select_endpoints(now, mode, traffic_, *inner_);
+        selection_.select_endpoints(now, mode, traffic_, *inner_router_);
         const std::vector<endpoint_info> changes = selection_.take_selection_changes();
         if (changes.empty())
             return;
-        inner_->on_endpoints_updated(now, endpoint_update_kind::local, changes);
+        inner_router_->on_endpoints_updated(now, endpoint_update_kind::local, changes);
         forward_actions(now);
     }
 
-    // Moves the inner router's actions to the caller's and observes the attempts among them.
+    // Moves the inner router's actions to this router's and records their attempts in the traffic estimate.
     void forward_actions(double now) {
-        for (const auto &each : inner_->actions) {
-            if (each.kind == action_kind::start_attempt) {
-                traffic_.on_attempt_started(now, each.request, each.endpoint);
+        for (const auto &forwarded : inner_router_->actions) {
+            if (forwarded.kind == action_kind::start_attempt) {
+                traffic_.on_attempt_started(now, forwarded.request, forwarded.endpoint);
                 ++attempt_count_;
-            } else if (each.kind == action_kind::release_request) {
-                traffic_.on_request_released(each.request);
+            } else if (forwarded.kind == action_kind::release_request) {
+                traffic_.on_request_released(forwarded.request);
             }
-            actions.push_back(each);
+            actions.push_back(forwarded);
         }
-        inner_->actions.clear();
+        inner_router_->actions.clear();
     }
 
     router_settings settings_;
-    std::unique_ptr<router> inner_;
+    std::unique_ptr<router> inner_router_;
     endpoint_selection selection_;
     traffic_estimator traffic_;
     std::uint64_t timer_count_ = 0;
-    std::uint64_t attempt_count_ = 0; // attempts started
+    std::uint64_t attempt_count_ = 0; // started attempts
 };
 
 } // namespace
--- a/src/subsets/subset_size.cpp
+++ b/src/subsets/subset_size.cpp
@@ -9,42 +9,43 @@
 namespace harrierpass::subsets {
 namespace {
 
-constexpr double min_subset_size = 12; // endpoints; losing half leaves twice a request's candidates
-constexpr double min_endpoints_per_in_flight = 4; // so that two attempts rarely meet at one endpoint
-constexpr double min_proxies_per_endpoint = 8;    // so that their uneven traffic evens out
-constexpr double initial_subset_size = 48;        // endpoints, while the traffic is unknown
-constexpr double min_gain = 0.1;                  // of a connection's cost; below it the level is kept
+constexpr double min_subset_size = 12; // endpoints; half of them are twice the candidates of a request
+constexpr double min_endpoints_per_in_flight = 4; // so that an endpoint rarely has two attempts
+constexpr double min_proxies_per_endpoint = 8;    // so that differences in their traffic even out
+constexpr double initial_subset_size = 48;        // endpoints; used while the traffic is unknown
+constexpr double min_gain = 0.1; // share of connection_cost; a smaller gain does not change the level
 
-// What remains of `count` at a level.
-double share_at(double count, index level) {
+// Returns the share of `count` that is left at a level.
+double count_at_level(double count, index level) {
     return count / std::exp2(static_cast<double>(level));
 }
 
-// Whether, at a level, enough proxies use each endpoint and each proxy enough endpoints. `part` scales the
-// bounds.
+// Whether, at a level, each endpoint has enough proxies and each proxy has enough endpoints. `bound_factor`
+// scales both bounds.
 bool has_enough(const traffic_sample &traffic, index endpoint_count, index proxy_count, index level,
-                double part) {
+                double bound_factor) {
     if (level == 0)
         return true;
     const double min_endpoints = std::max(min_subset_size, min_endpoints_per_in_flight * traffic.in_flight);
-    return share_at(proxy_count, level) >= min_proxies_per_endpoint * part &&
-           share_at(endpoint_count, level) >= min_endpoints * part;
+    return count_at_level(proxy_count, level) >= min_proxies_per_endpoint * bound_factor &&
+           count_at_level(endpoint_count, level) >= min_endpoints * bound_factor;
 }
 
 } // namespace
 
 double request_cost(const subset_costs &costs, const traffic_sample &traffic, index endpoint_count,
                     index proxy_count, index level) {
-    const double parts = std::exp2(static_cast<double>(level));
-    const double new_connections =
-        std::exp(-costs.idle_timeout * traffic.attempt_rate * parts / std::max<double>(1, endpoint_count));
-    const auto copies = [&](index at) {
-        return std::min<double>(std::exp2(static_cast<double>(at)), proxy_count);
+    const double part_count = std::exp2(static_cast<double>(level));
+    const double new_connections = std::exp(-costs.idle_timeout * traffic.attempt_rate * part_count /
+                                            std::max<double>(1, endpoint_count));
+    const auto copies = [&](index copy_level) {
+        return std::min<double>(std::exp2(static_cast<double>(copy_level)), proxy_count);
     };
-    const double scaled = copies(level) / copies(traffic.observed_level) * traffic.origin_fetch_share;
-    const double fetches = scaled > 0 ? scaled / (scaled + 1 - traffic.origin_fetch_share) : 0;
+    const double scaled_fetches = copies(level) / copies(traffic.observed_level) * traffic.origin_fetch_share;
+    const double fetch_share =
+        scaled_fetches > 0 ? scaled_fetches / (scaled_fetches + 1 - traffic.origin_fetch_share) : 0;
     return costs.connection_cost * new_connections +
-           (costs.origin_fetch_cost + traffic.origin_fetch_loss) * fetches;
+           (costs.origin_fetch_cost + traffic.origin_fetch_loss) * fetch_share;
 }
 
 index best_level(const subset_costs &costs, const traffic_sample &traffic, index endpoint_count,
@@ -52,32 +53,32 @@
     const auto cost = [&](index level) {
         return request_cost(costs, traffic, endpoint_count, proxy_count, level);
     };
-    const auto enough = [&](index level, double part) {
-        return has_enough(traffic, endpoint_count, proxy_count, level, part);
+    const auto is_sufficient = [&](index level, double bound_factor) {
+        return has_enough(traffic, endpoint_count, proxy_count, level, bound_factor);
     };
-    const double worthwhile = min_gain * costs.connection_cost;
+    const double min_cost_difference = min_gain * costs.connection_cost;
     index best = 0;
-    // A narrower level has to be worth it over the best so far, as a wide one is the safer choice.
-    for (index level = 1; level <= max_subset_level && enough(level, 1); ++level)
-        if (cost(best) - cost(level) > worthwhile)
+    // A narrower level must reduce the cost by the minimum difference, as a wider level is safer.
+    for (index level = 1; level <= max_subset_level && is_sufficient(level, 1); ++level)
+        if (cost(best) - cost(level) > min_cost_difference)
             best = level;
     const double gain = cost(current_level) - cost(best);
-    // The current level may stay down to half of the bounds, so that it does not go back and forth.
-    const bool may_stay = enough(current_level, 0.5);
-    return may_stay && std::abs(gain) < worthwhile ? current_level : best;
+    // The current level is kept down to half of the bounds, so that the level does not oscillate.
+    const bool may_keep_level = is_sufficient(current_level, 0.5);
+    return may_keep_level && std::abs(gain) < min_cost_difference ? current_level : best;
 }
 
 index initial_level(index endpoint_count, index proxy_count) {
     index level = 0;
-    while (level < max_subset_level && share_at(endpoint_count, level + 1) >= initial_subset_size &&
-           share_at(proxy_count, level + 1) >= min_proxies_per_endpoint)
+    while (level < max_subset_level && count_at_level(endpoint_count, level + 1) >= initial_subset_size &&
+           count_at_level(proxy_count, level + 1) >= min_proxies_per_endpoint)
         ++level;
     return level;
 }
 
 bool subsetting_never_helps(const router_settings &settings) {
-    // Where proxies ask the origin themselves, a miss costs a further attempt there, and refusals of the
-    // origin show more slowly than they do harm.
+    // If proxies fetch from the origin themselves, a cache miss costs an additional attempt, and rejections
+    // by the origin do harm before the cost estimate reflects them.
     if (settings.origin_kind != none)
         return true;
     return settings.proxy_index == none || settings.handshake_cost <= 0 ||
--- a/src/subsets/traffic_estimator.cpp
+++ b/src/subsets/traffic_estimator.cpp
@@ -7,10 +7,10 @@
 namespace harrierpass::subsets {
 namespace {
 
-constexpr double rate_time_constant = 8;   // s
-constexpr double min_observed_time = 0.25; // s; a shorter past would make the first rate too high
-constexpr double response_memory = 64;     // responses; they give a share to about a tenth
-constexpr double loss_prior = 16;          // responses; fewer say nothing yet of what a fetch loses
+constexpr double rate_time_constant = 8;   // in seconds
+constexpr double min_observed_time = 0.25; // in seconds; a shorter time would make the first rate too high
+constexpr double response_memory = 64;     // responses; enough for a share with an error of about 0.1
+constexpr double loss_prior = 16;          // responses; fewer do not show the loss by fetches
 
 } // namespace
 
@@ -21,9 +21,10 @@
 
 void traffic_estimator::decay(double now) {
     const double elapsed = std::max(0.0, now - decayed_at_);
-    const double kept = std::exp(-elapsed / rate_time_constant);
-    attempts_ *= kept;
-    in_flight_seconds_ = in_flight_seconds_ * kept + total_in_flight_ * rate_time_constant * (1 - kept);
+    const double decay_factor = std::exp(-elapsed / rate_time_constant);
+    attempts_ *= decay_factor;
+    in_flight_seconds_ =
+        in_flight_seconds_ * decay_factor + total_in_flight_ * rate_time_constant * (1 - decay_factor);
     decayed_at_ = std::max(decayed_at_, now);
 }
 
@@ -79,14 +80,15 @@
 
 traffic_sample traffic_estimator::estimate(double now, index level) const {
     const double elapsed = std::max(0.0, now - decayed_at_);
-    const double kept = std::exp(-elapsed / rate_time_constant);
-    // What the sum of a rate of 1 has reached by now: it fills over the first time constants.
+    const double decay_factor = std::exp(-elapsed / rate_time_constant);
+    // Value of the decaying sum for a rate of 1, which rises during the first time constants.
     const double observed_time = std::max(min_observed_time, now - first_request_at_);
     const double unit_sum = rate_time_constant * (1 - std::exp(-observed_time / rate_time_constant));
     traffic_sample sample;
-    sample.attempt_rate = attempts_ * kept / unit_sum;
+    sample.attempt_rate = attempts_ * decay_factor / unit_sum;
     sample.in_flight =
-        (in_flight_seconds_ * kept + total_in_flight_ * rate_time_constant * (1 - kept)) / unit_sum;
+        (in_flight_seconds_ * decay_factor + total_in_flight_ * rate_time_constant * (1 - decay_factor)) /
+        unit_sum;
     sample.origin_fetch_share = fetch_share_.value(0);
     sample.origin_fetch_loss = std::max(0.0, fetch_loss_.value(loss_prior) - hit_loss_.value(loss_prior));
     sample.observed_level = level;
--- a/src/subsets/traffic_estimator.hpp
+++ b/src/subsets/traffic_estimator.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// Estimates of one proxy's own traffic, for the size of its subset. No I/O, no clock: times come in, in
-// seconds and in ascending order. Owned by the subset router.
+// Estimates the traffic of one proxy, for the size of its subset. No I/O, no clock: callers pass times in
+// seconds, in ascending order. Owned by the subset router.
 #pragma once
 
 #include "router/indexed_vector.hpp"
@@ -10,59 +10,60 @@
 
 namespace harrierpass::subsets {
 
-// The traffic of one proxy: rates by decaying sums, shares by means of the latest responses.
+// Traffic of one proxy: rates are decaying sums, shares are means of the latest responses.
 class traffic_estimator {
 public:
-    // A new request; its index may have been that of one released before.
+    // Records a new request. Its index may be reused after the release of an earlier request.
     void on_request(double now, request_index request, const request_class &class_settings);
-    // The next attempt of the request was sent to the endpoint.
+    // Records that the next attempt of the request was sent to the endpoint.
     void on_attempt_started(double now, request_index request, endpoint_index endpoint);
-    // `completed`: with a regular response; `fetched`: the origin was asked for it.
+    // Records the end of an attempt. `completed`: it got a regular response; `fetched`: the response was
+    // fetched from the origin.
     void on_attempt_finished(double now, request_index request, attempt_number attempt, bool completed,
                              bool fetched);
-    // Nothing more is reported of the request; its attempts in flight no longer count.
+    // Removes the request. Its attempts in flight no longer count.
     void on_request_released(request_index request);
-    // Forgets the share of fetches, which was observed at another level.
+    // Resets the share of fetches, which was observed at the previous level.
     void on_level_changed(double now);
 
-    // Whether there were enough requests for a rate to mean anything.
+    // Whether there were enough requests to estimate rates.
     bool has_enough_samples() const { return request_count_ >= min_requests; }
-    // Requests since the start.
+    // Number of requests since the start.
     std::uint64_t request_count() const { return request_count_; }
-    // Attempts in flight at the endpoint.
+    // Number of attempts in flight at the endpoint.
     index in_flight(endpoint_index endpoint) const {
         return in_flight_.contains(endpoint) ? in_flight_[endpoint] : 0;
     }
-    // The traffic as of `now`; `level` is that of the subset.
+    // Returns the traffic at `now`; `level` is the level of the subset.
     traffic_sample estimate(double now, index level) const;
 
 private:
     static constexpr std::uint64_t min_requests = 8;
 
-    // Mean of the latest values, drawn towards 0 while they are few.
+    // Mean of the latest values, biased towards 0 while there are few.
     struct recent_mean {
         double sum = 0, weight = 0;
-        // Adds a value and lets the earlier ones fade.
+        // Adds a value and decays the earlier ones.
         void add(double value);
-        // `prior`: how many zeros the values are averaged with.
+        // Returns the mean of the values and `prior` additional zeros.
         double value(double prior) const { return weight > 0 ? sum / (weight + prior) : 0; }
     };
-    // A request that was not released yet.
+    // Request that has not been released.
     struct request_record {
-        double received_at = 0;                // s
-        double latency_objective = 1;          // s
-        double late_loss = 0;                  // share of the value lost by a late response
-        std::vector<endpoint_index> endpoints; // by attempt; `none` once it has finished
+        double received_at = 0;                // in seconds
+        double latency_objective = 1;          // in seconds
+        double late_loss = 0;                  // share of the value that a late response loses
+        std::vector<endpoint_index> endpoints; // by attempt; `none` after the attempt has finished
     };
 
-    // Lets the sums fade up to `now`.
+    // Decays the sums up to `now`.
     void decay(double now);
 
     indexed_vector<request_index, request_record> requests_;
-    indexed_vector<endpoint_index, index> in_flight_; // attempts
+    indexed_vector<endpoint_index, index> in_flight_; // attempts by endpoint
     index total_in_flight_ = 0;                       // attempts at all endpoints
-    double first_request_at_ = -1;                    // s; negative before the first request
-    double decayed_at_ = 0;                           // s
+    double first_request_at_ = -1;                    // in seconds; negative before the first request
+    double decayed_at_ = 0;                           // in seconds
     double attempts_ = 0, in_flight_seconds_ = 0;     // decaying sums
     std::uint64_t request_count_ = 0;
     recent_mean fetch_share_, fetch_loss_, hit_loss_;
--- a/tests/subsets/coverage_report_test.cpp
+++ b/tests/subsets/coverage_report_test.cpp
@@ -8,67 +8,70 @@
 
 namespace harrierpass::subsets {
 
-TEST_CASE("load stays near each server's share, and connections near those of all, at uneven traffic") {
-    for (const index count : {24U, 100U, 300U, 520U})
-        for (const index number : {3U, 16U, 40U, 100U, 200U, 400U})
+TEST_CASE("coverage report: loads and idle connections stay near the mean per weight with uneven traffic") {
+    for (const index proxy_count : {24U, 100U, 300U, 520U})
+        for (const index endpoint_count : {3U, 16U, 40U, 100U, 200U, 400U})
             for (const bool uneven : {false, true}) {
-                const auto all = make_endpoints(number, uneven);
-                const auto now = make_proxies(count, number, true);
-                const auto found = compute_coverage(now, all, costs);
-                double users = 0, connections = 0;
-                for (index i = 0; i < number; ++i) {
-                    users += found.proxies_per_endpoint[i];
-                    connections += found.idle_connections[i];
+                const auto endpoints = make_endpoints(endpoint_count, uneven);
+                const auto proxies = make_proxies(proxy_count, endpoint_count, true);
+                const auto report = compute_coverage(proxies, endpoints, costs);
+                double mean_proxies = 0, mean_connections = 0;
+                for (index i = 0; i < endpoint_count; ++i) {
+                    mean_proxies += report.proxies_per_endpoint[i];
+                    mean_connections += report.idle_connections[i];
                 }
-                users /= number;
-                connections /= number;
-                CAPTURE(count);
-                CAPTURE(number);
-                CAPTURE(users);
-                // As far as a sum of so many parts, so uneven, goes astray.
-                const double highest = *std::ranges::max_element(found.relative_load);
-                CHECK(highest <= 1 + 3.5 / std::sqrt(users));
-                double weight = 0;
-                for (const auto &each : all)
-                    weight += each.weight / number;
-                for (index i = 0; i < number; ++i)
-                    CHECK(found.idle_connections[i] <=
-                          connections * std::max(1.0, all[i].weight / weight) * (1 + 4 / std::sqrt(users)) +
+                mean_proxies /= endpoint_count;
+                mean_connections /= endpoint_count;
+                CAPTURE(proxy_count);
+                CAPTURE(endpoint_count);
+                CAPTURE(mean_proxies);
+                // Bound on the deviation of a sum of the traffic of this many uneven proxies.
+                const double highest_load = *std::ranges::max_element(report.relative_load);
+                CHECK(highest_load <= 1 + 3.5 / std::sqrt(mean_proxies));
+                double mean_weight = 0;
+                for (const auto &endpoint : endpoints)
+                    mean_weight += endpoint.weight / endpoint_count;
+                for (index i = 0; i < endpoint_count; ++i)
+                    CHECK(report.idle_connections[i] <=
+                          mean_connections * std::max(1.0, endpoints[i].weight / mean_weight) *
+                                  (1 + 4 / std::sqrt(mean_proxies)) +
                               1);
             }
 }
 
-TEST_CASE("a change moves few preferences, and other proxies' changes none") {
-    for (const index count : {24U, 300U, 520U})
-        for (const index number : {20U, 100U, 200U, 400U}) {
-            const auto now = make_proxies(count, number, true);
-            auto all = make_endpoints(number + 1);
-            const std::vector<coverage_endpoint> previous(all.begin(), all.end() - 1);
-            double mean = 0;
-            for (const auto &each : now)
-                mean += std::exp2(-static_cast<double>(each.level));
-            CAPTURE(count);
-            CAPTURE(number);
-            CHECK(static_cast<double>(count_new_assignments(now, previous, now, all)) <=
-                  mean + 4 * std::sqrt(mean) + 1);
-            // One less: only those that are then short of servers take another.
-            CHECK(static_cast<double>(count_new_assignments(now, all, now, previous)) <= mean / 2 + 4);
-            auto less = now;
-            less.pop_back();
-            CHECK(count_new_assignments(now, all, less, all) == 0);
+TEST_CASE("coverage report: adding an endpoint changes few assignments, and removing a proxy changes none") {
+    for (const index proxy_count : {24U, 300U, 520U})
+        for (const index endpoint_count : {20U, 100U, 200U, 400U}) {
+            const auto proxies = make_proxies(proxy_count, endpoint_count, true);
+            auto endpoints = make_endpoints(endpoint_count + 1);
+            const std::vector<coverage_endpoint> previous(endpoints.begin(), endpoints.end() - 1);
+            double expected = 0;
+            for (const auto &proxy : proxies)
+                expected += std::exp2(-static_cast<double>(proxy.level));
+            CAPTURE(proxy_count);
+            CAPTURE(endpoint_count);
+            CHECK(static_cast<double>(count_new_assignments(proxies, previous, proxies, endpoints)) <=
+                  expected + 4 * std::sqrt(expected) + 1);
+            // Removing an endpoint: only proxies with too few endpoints left select another.
+            CHECK(static_cast<double>(count_new_assignments(proxies, endpoints, proxies, previous)) <=
+                  expected / 2 + 4);
+            auto fewer_proxies = proxies;
+            fewer_proxies.pop_back();
+            CHECK(count_new_assignments(proxies, endpoints, fewer_proxies, endpoints) == 0);
         }
 }
 
-TEST_CASE("a tenth of the servers at a time: what moves is what came, and little more") {
-    const auto all = make_endpoints(220);
-    const std::vector<coverage_endpoint> previous(all.begin(), all.begin() + 200),
-        after(all.begin() + 20, all.end());
-    const auto now = make_proxies(300, 200, true);
-    std::size_t had = 0;
-    for (const auto &each : now)
-        had += selected_endpoints(each, previous).size();
-    CHECK(static_cast<double>(count_new_assignments(now, previous, now, after)) <
-          0.15 * static_cast<double>(had));
+TEST_CASE("coverage report: replacing a tenth of the endpoints changes little more than a tenth of the "
+          "assignments") {
+    const auto endpoints = make_endpoints(220);
+    const std::vector<coverage_endpoint> previous(endpoints.begin(), endpoints.begin() + 200),
+        after(endpoints.begin() + 20, endpoints.end());
+    const auto proxies = make_proxies(300, 200, true);
+    std::size_t assignments_before = 0;
+    for (const auto &proxy : proxies)
+        assignments_before += selected_endpoints(proxy, previous).size();
+    CHECK(static_cast<double>(count_new_assignments(proxies, previous, proxies, after)) <
+          0.15 * static_cast<double>(assignments_before));
 }
 
 } // namespace harrierpass::subsets
--- a/tests/subsets/endpoint_selection_test.cpp
+++ b/tests/subsets/endpoint_selection_test.cpp
@@ -13,7 +13,7 @@
 namespace harrierpass::subsets {
 namespace {
 
-// A router that only says which endpoints are ejected.
+// A router that only provides which endpoints are ejected.
 class ejecting_router final : public router {
 public:
     void on_endpoints_updated(double, endpoint_update_kind, std::span<const endpoint_info>) override {}
@@ -31,7 +31,7 @@
     std::set<endpoint_index> ejected;
 };
 
-// The selection of a proxy that knows nothing of its traffic, after a snapshot.
+// Selection of a proxy without traffic samples, after a snapshot.
 struct selection_fixture {
     explicit selection_fixture(index count, const router_settings &settings = low_traffic_settings())
         : selection(settings) {
@@ -66,7 +66,7 @@
 
 } // namespace
 
-TEST_CASE("endpoint selection: the nearest endpoints are ready to the router, the others draining") {
+TEST_CASE("endpoint selection: the nearest endpoints are reported as ready, the others as draining") {
     selection_fixture fixture(200);
     std::vector<std::uint64_t> ready, draining;
     for (const auto &entry : fixture.selection.take_list_updates())
@@ -80,7 +80,7 @@
     CHECK(fixture.selection.take_list_updates().empty());
 }
 
-TEST_CASE("endpoint selection: where the nearest are ejected further ones are selected") {
+TEST_CASE("endpoint selection: more endpoints are selected while the nearest are ejected") {
     selection_fixture fixture(200);
     fixture.selection.take_list_updates();
     const auto before = fixture.selected(200);
@@ -92,23 +92,24 @@
 
     fixture.inner.ejected.clear();
     fixture.select(selection_mode::widen_only);
-    CHECK(fixture.selected(200).size() > before.size()); // to narrow is left to a request
+    CHECK(fixture.selected(200).size() > before.size()); // only may_narrow deselects endpoints
     CHECK(fixture.selection.needs_selection());
     for (int i = 0; i < 50 && fixture.selection.needs_selection(); ++i)
         fixture.select(selection_mode::may_narrow);
     CHECK(fixture.selected(200) == before);
 }
 
-TEST_CASE("endpoint selection: an endpoint with an attempt in flight stays until it has finished") {
+TEST_CASE(
+    "endpoint selection: an endpoint with an attempt in flight stays selected until the attempt finishes") {
     selection_fixture fixture(200);
     fixture.selection.take_list_updates();
     const auto before = fixture.selected(200);
     fixture.inner.ejected = before;
     fixture.select(selection_mode::widen_only);
-    auto wide = fixture.selected(200);
-    for (const endpoint_index each : before)
-        wide.erase(each);
-    const endpoint_index busy = *wide.begin();
+    auto additional = fixture.selected(200);
+    for (const endpoint_index endpoint : before)
+        additional.erase(endpoint);
+    const endpoint_index busy = *additional.begin();
     fixture.traffic.on_request(10, 0_request, {});
     fixture.traffic.on_attempt_started(10, 0_request, busy);
     fixture.inner.ejected.clear();
@@ -121,7 +122,7 @@
     CHECK(fixture.selected(200) == before);
 }
 
-TEST_CASE("endpoint selection: while most requests find no capacity twice as many are selected") {
+TEST_CASE("endpoint selection: twice as many endpoints are selected while most requests find no capacity") {
     selection_fixture fixture(200);
     const auto before = fixture.selection.view().selected_endpoints;
     for (int i = 0; i < 20; ++i)
@@ -133,23 +134,23 @@
     CHECK_FALSE(fixture.selection.needs_selection());
 }
 
-TEST_CASE("endpoint selection: what a snapshot leaves out is no longer selected") {
+TEST_CASE("endpoint selection: an endpoint that a snapshot omits is no longer selected") {
     selection_fixture fixture(200);
     const auto before = fixture.selected(200);
     fixture.apply_snapshot(100);
     CHECK(fixture.selection.view().ready_endpoints == 100);
-    for (const endpoint_index each : before)
-        if (!(each < 100_endpoint))
-            CHECK_FALSE(fixture.selection.is_selected(each));
+    for (const endpoint_index endpoint : before)
+        if (!(endpoint < 100_endpoint))
+            CHECK_FALSE(fixture.selection.is_selected(endpoint));
 }
 
-TEST_CASE("endpoint selection: where subsets gain nothing every endpoint is selected") {
+TEST_CASE("endpoint selection: every endpoint is selected if subsets do not reduce the cost") {
     router_settings settings = low_traffic_settings();
     settings.handshake_cost = 0;
     selection_fixture fixture(200, settings);
     CHECK(fixture.selection.is_disabled());
     CHECK(fixture.selected(200).size() == 200);
-    CHECK_FALSE(fixture.selection.is_selected(200_endpoint)); // not known
+    CHECK_FALSE(fixture.selection.is_selected(200_endpoint)); // unknown endpoint
 }
 
 } // namespace harrierpass::subsets
--- a/tests/subsets/subset_router_test.cpp
+++ b/tests/subsets/subset_router_test.cpp
@@ -14,33 +14,33 @@
 namespace harrierpass::subsets {
 namespace {
 
-// One proxy with a subset router before simulated endpoints, which answer unless they are in `dead`.
+// A proxy with a subset router and simulated endpoints, which respond unless they are in `failed_endpoints`.
 struct router_fixture {
     explicit router_fixture(const router_settings &settings, index count, std::uint32_t seed = 1)
         : random(seed) {
         subject = make_subset_router(settings, seed, 0);
         for (index i = 0; i < count; ++i)
             names.push_back(endpoint_id(i));
-        std::vector<endpoint_info> all;
+        std::vector<endpoint_info> entries;
         for (index i = 0; i < count; ++i)
-            all.push_back(entry(i));
+            entries.push_back(entry(i));
         state.assign(count, endpoint_state::ready);
-        subject->on_endpoints_updated(0, endpoint_update_kind::snapshot, all);
+        subject->on_endpoints_updated(0, endpoint_update_kind::snapshot, entries);
         apply_actions();
     }
     endpoint_info entry(index endpoint, endpoint_state new_state = endpoint_state::ready,
-                        double started = 0) const {
+                        double started_at = 0) const {
         endpoint_info result;
         result.endpoint = endpoint_index(endpoint);
         result.id = names[endpoint];
         result.state = new_state;
-        result.started_at = started;
+        result.started_at = started_at;
         return result;
     }
-    void update_endpoint(index endpoint, endpoint_state new_state, double started = 0) {
+    void update_endpoint(index endpoint, endpoint_state new_state, double started_at = 0) {
         state[endpoint] = new_state;
-        const endpoint_info one = entry(endpoint, new_state, started);
-        subject->on_endpoints_updated(now, endpoint_update_kind::delta, {&one, 1});
+        const endpoint_info changed_entry = entry(endpoint, new_state, started_at);
+        subject->on_endpoints_updated(now, endpoint_update_kind::delta, {&changed_entry, 1});
         apply_actions();
     }
     void apply_actions() {
@@ -51,7 +51,7 @@
                 ++watch_count;
             else if (action.kind == action_kind::start_attempt) {
                 CHECK(state[action.endpoint.value()] ==
-                      endpoint_state::ready); // drains are kept, whatever the subset does
+                      endpoint_state::ready); // the subset never selects a draining endpoint
                 ++sent[action.endpoint];
                 in_flight[action.request] = {action.endpoint, attempt_counts[action.request]};
                 ++attempt_counts[action.request];
@@ -59,10 +59,10 @@
                 health_checks.push_back(action.endpoint);
             } else if (action.kind == action_kind::reject_request ||
                        action.kind == action_kind::fail_request) {
-                ++answered[action.request];
+                ++response_counts[action.request];
             } else if (action.kind == action_kind::release_request) {
-                live.erase(action.request);
-                free.push_back(action.request);
+                open_requests.erase(action.request);
+                free_requests.push_back(action.request);
             }
         }
         subject->actions.clear();
@@ -73,21 +73,21 @@
             subject->on_timer(now);
             apply_actions();
             for (const endpoint_index endpoint : std::exchange(health_checks, {})) {
-                subject->on_health_check_finished(now, endpoint, !dead.contains(endpoint));
+                subject->on_health_check_finished(now, endpoint, !failed_endpoints.contains(endpoint));
                 apply_actions();
             }
         }
         now = until;
     }
     request_index send_request(class_index class_id = 0_class) {
-        if (free.empty())
-            free.push_back(answered.end_index());
-        const request_index request = free.back();
-        free.pop_back();
-        answered.grow_to(request);
-        answered[request] = 0;
+        if (free_requests.empty())
+            free_requests.push_back(response_counts.end_index());
+        const request_index request = free_requests.back();
+        free_requests.pop_back();
+        response_counts.grow_to(request);
+        response_counts[request] = 0;
         attempt_counts[request] = 0_attempt;
-        live.insert(request);
+        open_requests.insert(request);
         request_info sent_request;
         sent_request.request = request;
         sent_request.class_id = class_id;
@@ -100,25 +100,25 @@
     }
     void finish_attempts() {
         while (!in_flight.empty()) {
-            const auto [request, where] = *in_flight.begin();
+            const auto [request, attempt] = *in_flight.begin();
             in_flight.erase(in_flight.begin());
-            const bool refused = dead.contains(where.first);
-            answered[request] += !refused;
-            subject->on_attempt_finished(now, request, where.second,
-                                         refused ? outcome::connect_error : outcome::completed, !refused,
-                                         false);
+            const bool connection_refused = failed_endpoints.contains(attempt.first);
+            response_counts[request] += !connection_refused;
+            subject->on_attempt_finished(now, request, attempt.second,
+                                         connection_refused ? outcome::connect_error : outcome::completed,
+                                         !connection_refused, false);
             apply_actions();
         }
     }
-    // Ten requests a second, each answered after 50 ms.
+    // Sends ten requests per second and finishes each attempt after 50 ms.
     void run_requests(int request_count) {
         for (int i = 0; i < request_count; ++i) {
             advance_to(now + 0.05);
             const request_index request = send_request();
             advance_to(now + 0.05);
             finish_attempts();
-            if (!live.contains(request))
-                CHECK(answered[request] == 1);
+            if (!open_requests.contains(request))
+                CHECK(response_counts[request] == 1);
         }
     }
     std::set<endpoint_index> endpoints_used_by(int request_count) {
@@ -138,179 +138,183 @@
     std::map<request_index, std::pair<endpoint_index, attempt_number>> in_flight;
     std::map<request_index, attempt_number> attempt_counts;
     std::map<endpoint_index, index> sent;
-    indexed_vector<request_index, int> answered;
-    std::vector<request_index> free;
+    indexed_vector<request_index, int> response_counts;
+    std::vector<request_index> free_requests;
     std::vector<endpoint_index> health_checks;
-    std::set<request_index> live;
-    std::set<endpoint_index> dead;
-    std::size_t watch_count = 0; // requests to watch the endpoint list
+    std::set<request_index> open_requests;
+    std::set<endpoint_index> failed_endpoints;
+    std::size_t watch_count = 0; // watch_endpoints actions
 };
 
 } // namespace
 
-TEST_CASE("without a price of handshakes every decision is the module's own") {
+TEST_CASE("subset router: without handshake cost, every decision is the inner router's") {
     router_settings settings = low_traffic_settings();
     settings.handshake_cost = 0;
-    router_fixture chosen(settings, 40), plain(settings, 40);
+    router_fixture subsetting(settings, 40), plain(settings, 40);
     plain.subject = make_router(settings, 1, 0);
-    std::vector<endpoint_info> all;
+    std::vector<endpoint_info> entries;
     for (index i = 0; i < 40; ++i)
-        all.push_back(plain.entry(i));
-    plain.subject->on_endpoints_updated(0, endpoint_update_kind::snapshot, all);
+        entries.push_back(plain.entry(i));
+    plain.subject->on_endpoints_updated(0, endpoint_update_kind::snapshot, entries);
     plain.apply_actions();
-    chosen.dead = plain.dead = {3_endpoint, 4_endpoint, 5_endpoint};
-    CHECK(chosen.endpoints_used_by(300) == plain.endpoints_used_by(300));
-    CHECK(chosen.sent == plain.sent);
-    CHECK(chosen.subject->subset().endpoints_removed == 0);
+    subsetting.failed_endpoints = plain.failed_endpoints = {3_endpoint, 4_endpoint, 5_endpoint};
+    CHECK(subsetting.endpoints_used_by(300) == plain.endpoints_used_by(300));
+    CHECK(subsetting.sent == plain.sent);
+    CHECK(subsetting.subject->subset().endpoints_removed == 0);
 }
 
-// Where a whole fleet starts at once, first connections go to endpoints that are kept in use.
-TEST_CASE("a proxy that does not know its traffic starts with a part of the servers") {
+// When a whole fleet starts at once, the first connections go to endpoints that stay in use.
+TEST_CASE("subset router: a proxy without traffic samples starts with a subset of the endpoints") {
     CHECK(initial_level(200, 300) == 2);
-    CHECK(initial_level(200, 20) == 1); // as many proxies to each server as ever
+    CHECK(initial_level(200, 20) == 1); // limited by the minimum number of proxies per endpoint
     CHECK(initial_level(95, 300) == 0);
     CHECK(initial_level(400, 520) == 3);
-    std::size_t kept = 0, met = 0;
-    for (index me = 0; me < 20; ++me) {
-        router_fixture one(low_traffic_settings(me), 200);
-        CHECK(one.subject->subset().selected_endpoints >= 35); // 50, give or take the hash
-        CHECK(one.subject->subset().selected_endpoints <= 65);
-        const auto first = one.endpoints_used_by(7);
-        one.run_requests(200);
-        const auto later = one.endpoints_used_by(300);
-        met += first.size();
-        for (const endpoint_index each : first)
-            kept += later.contains(each);
+    std::size_t kept_count = 0, initial_count = 0;
+    for (index proxy_index = 0; proxy_index < 20; ++proxy_index) {
+        router_fixture fixture(low_traffic_settings(proxy_index), 200);
+        CHECK(fixture.subject->subset().selected_endpoints >= 35); // 50 on average
+        CHECK(fixture.subject->subset().selected_endpoints <= 65);
+        const auto initial_endpoints = fixture.endpoints_used_by(7);
+        fixture.run_requests(200);
+        const auto later_endpoints = fixture.endpoints_used_by(300);
+        initial_count += initial_endpoints.size();
+        for (const endpoint_index endpoint : initial_endpoints)
+            kept_count += later_endpoints.contains(endpoint);
     }
-    CHECK(kept * 5 >= met); // at level 2 of 4 a quarter is preferred for good; of all 200 a sixteenth
-    router_settings whale = low_traffic_settings(); // no price, no part
-    whale.handshake_cost = 0;
-    CHECK(router_fixture(whale, 200).subject->subset().selected_endpoints == 200);
+    // A quarter of a level-2 subset stays preferred at level 4, but only a sixteenth of all 200 endpoints.
+    CHECK(kept_count * 5 >= initial_count);
+    router_settings without_cost = low_traffic_settings(); // no handshake cost, no subset
+    without_cost.handshake_cost = 0;
+    CHECK(router_fixture(without_cost, 200).subject->subset().selected_endpoints == 200);
 }
 
-TEST_CASE("a thin proxy comes to use few servers, the same after its restart") {
-    router_fixture one(low_traffic_settings(), 200), again(low_traffic_settings(), 200, 99);
-    one.run_requests(100);
-    again.run_requests(100);
-    CHECK(one.subject->subset().level == 4);
-    const auto narrow = one.endpoints_used_by(200);
-    CHECK(narrow.size() <= 24);
-    CHECK(narrow == again.endpoints_used_by(200));
+TEST_CASE("subset router: a proxy with low traffic narrows to few endpoints, the same ones after a restart") {
+    router_fixture fixture(low_traffic_settings(), 200), restarted(low_traffic_settings(), 200, 99);
+    fixture.run_requests(100);
+    restarted.run_requests(100);
+    CHECK(fixture.subject->subset().level == 4);
+    const auto narrow_endpoints = fixture.endpoints_used_by(200);
+    CHECK(narrow_endpoints.size() <= 24);
+    CHECK(narrow_endpoints == restarted.endpoints_used_by(200));
     router_fixture other(low_traffic_settings(6), 200);
     other.run_requests(100);
-    CHECK(other.endpoints_used_by(200) != narrow);
+    CHECK(other.endpoints_used_by(200) != narrow_endpoints);
 }
 
-// A selection made after a failed poll does not count as word from the list service.
-TEST_CASE("a list that was lost is asked for again, however the choice changes meanwhile") {
+// A selection after a failed poll must not count as a response of the discovery service.
+TEST_CASE("subset router: a watch is requested after a failed poll while the selection changes") {
     router_settings settings = low_traffic_settings();
     settings.constraints.watch_required = true;
     settings.constraints.max_poll_interval = 0.5;
     for (std::uint32_t seed = 1; seed <= 10; ++seed) {
-        router_fixture one(settings, 200, seed);
-        one.run_requests(6); // just before it becomes narrower, step by step
-        one.subject->on_endpoints_updated(one.now, endpoint_update_kind::poll_failed, {});
-        one.apply_actions();
-        const auto previous = one.subject->subset().endpoints_removed;
-        one.run_requests(10);
-        CHECK(one.subject->subset().endpoints_removed > previous);
-        CHECK(one.watch_count > 0);
+        router_fixture fixture(settings, 200, seed);
+        fixture.run_requests(6); // just before the subset narrows in steps
+        fixture.subject->on_endpoints_updated(fixture.now, endpoint_update_kind::poll_failed, {});
+        fixture.apply_actions();
+        const auto previous = fixture.subject->subset().endpoints_removed;
+        fixture.run_requests(10);
+        CHECK(fixture.subject->subset().endpoints_removed > previous);
+        CHECK(fixture.watch_count > 0);
     }
 }
 
-// Invariant: an endpoint kept only for its attempts in flight does not draw all nearer ones in again.
-TEST_CASE("executions that are out while servers leave bring none back") {
-    router_fixture one(low_traffic_settings(), 200);
-    for (int i = 0; i < 7; ++i) { // all over the fleet, before the proxy knows its traffic
-        one.advance_to(one.now + 0.1);
-        one.send_request();
+// An endpoint that is selected only for its attempts in flight must not cause all nearer ones to be selected.
+TEST_CASE("subset router: attempts in flight at deselected endpoints do not cause endpoints to be added") {
+    router_fixture fixture(low_traffic_settings(), 200);
+    for (int i = 0; i < 7; ++i) { // to any endpoint, before there are enough traffic samples
+        fixture.advance_to(fixture.now + 0.1);
+        fixture.send_request();
     }
     for (int i = 0; i < 60; ++i) {
-        one.advance_to(one.now + 0.1);
-        const request_index request = one.send_request();
-        if (const auto at = one.in_flight.find(request); at != one.in_flight.end()) {
-            const auto attempt = at->second.second;
-            one.in_flight.erase(at);
-            ++one.answered[request];
-            one.subject->on_attempt_finished(one.now, request, attempt, outcome::completed, true, false);
-            one.apply_actions();
+        fixture.advance_to(fixture.now + 0.1);
+        const request_index request = fixture.send_request();
+        if (const auto found = fixture.in_flight.find(request); found != fixture.in_flight.end()) {
+            const auto attempt = found->second.second;
+            fixture.in_flight.erase(found);
+            ++fixture.response_counts[request];
+            fixture.subject->on_attempt_finished(fixture.now, request, attempt, outcome::completed, true,
+                                                 false);
+            fixture.apply_actions();
         }
     }
-    CHECK(one.subject->subset().level > 0);
-    CHECK(one.subject->subset().endpoints_added < 300); // 1,514 where it does; those silent bring a few
-    one.finish_attempts();
+    CHECK(fixture.subject->subset().level > 0);
+    // Silent endpoints cause a few additions. With the fault there were 1,514.
+    CHECK(fixture.subject->subset().endpoints_added < 300);
+    fixture.finish_attempts();
 }
 
-TEST_CASE("most of its servers dead at once: it widens by what it saw, and narrows when they are back") {
-    router_fixture one(low_traffic_settings(), 200);
-    one.run_requests(100);
-    const auto narrow = one.endpoints_used_by(100);
-    one.dead = narrow;
-    one.dead.erase(one.dead.begin());
-    one.run_requests(60);
-    const auto widened = one.subject->subset();
+TEST_CASE("subset router: the subset widens when most of its endpoints fail and narrows when they recover") {
+    router_fixture fixture(low_traffic_settings(), 200);
+    fixture.run_requests(100);
+    const auto narrow_endpoints = fixture.endpoints_used_by(100);
+    fixture.failed_endpoints = narrow_endpoints;
+    fixture.failed_endpoints.erase(fixture.failed_endpoints.begin());
+    fixture.run_requests(60);
+    const auto widened = fixture.subject->subset();
     CHECK(widened.widened_for_availability > 0);
-    std::size_t alive = 0;
-    for (const endpoint_index each : one.endpoints_used_by(100))
-        alive += !one.dead.contains(each);
-    CHECK(alive >= 6);
-    one.dead.clear();
-    one.run_requests(200);
-    for (index each = 0; each < 200; ++each)
-        CHECK_FALSE(one.subject->avoids_endpoint(endpoint_index(each)));
-    CHECK(one.subject->subset().selected_endpoints < widened.selected_endpoints);
-    CHECK(one.endpoints_used_by(100).size() <= narrow.size() + 2);
+    std::size_t healthy_count = 0;
+    for (const endpoint_index endpoint : fixture.endpoints_used_by(100))
+        healthy_count += !fixture.failed_endpoints.contains(endpoint);
+    CHECK(healthy_count >= 6);
+    fixture.failed_endpoints.clear();
+    fixture.run_requests(200);
+    for (index endpoint = 0; endpoint < 200; ++endpoint)
+        CHECK_FALSE(fixture.subject->avoids_endpoint(endpoint_index(endpoint)));
+    CHECK(fixture.subject->subset().selected_endpoints < widened.selected_endpoints);
+    CHECK(fixture.endpoints_used_by(100).size() <= narrow_endpoints.size() + 2);
 }
 
-TEST_CASE("a fleet that is mostly cold is no reason to use all of it") {
-    router_fixture one(low_traffic_settings(), 200);
-    one.run_requests(100);
-    const auto previous = one.subject->subset().selected_endpoints;
+TEST_CASE("subset router: the subset at most doubles while most endpoints are warming up") {
+    router_fixture fixture(low_traffic_settings(), 200);
+    fixture.run_requests(100);
+    const auto previous = fixture.subject->subset().selected_endpoints;
     for (index i = 0; i < 140; ++i)
-        one.update_endpoint(i, endpoint_state::ready, one.now);
-    one.run_requests(20);
-    CHECK(one.subject->subset().selected_endpoints <= 2 * previous);
+        fixture.update_endpoint(i, endpoint_state::ready, fixture.now);
+    fixture.run_requests(20);
+    CHECK(fixture.subject->subset().selected_endpoints <= 2 * previous);
 }
 
-TEST_CASE("any order of servers that come, go, drain and fail: rules kept, nothing left out") {
+TEST_CASE(
+    "subset router: random endpoint changes and failures leave every request with exactly one response") {
     for (std::uint32_t seed = 1; seed <= 8; ++seed) {
-        router_fixture one(low_traffic_settings(seed), 60, seed);
+        router_fixture fixture(low_traffic_settings(seed), 60, seed);
         std::minstd_rand random(seed);
         for (int step = 0; step < 600; ++step) {
             const index endpoint = random() % 60;
             switch (random() % 6) {
             case 0:
-                one.update_endpoint(endpoint, endpoint_state::draining);
+                fixture.update_endpoint(endpoint, endpoint_state::draining);
                 break;
             case 1:
-                one.update_endpoint(endpoint, endpoint_state::removed);
+                fixture.update_endpoint(endpoint, endpoint_state::removed);
                 break;
             case 2:
-                one.update_endpoint(endpoint, endpoint_state::ready, one.now);
+                fixture.update_endpoint(endpoint, endpoint_state::ready, fixture.now);
                 break;
             case 3:
-                if (!one.dead.insert(endpoint_index(endpoint)).second)
-                    one.dead.erase(endpoint_index(endpoint));
+                if (!fixture.failed_endpoints.insert(endpoint_index(endpoint)).second)
+                    fixture.failed_endpoints.erase(endpoint_index(endpoint));
                 break;
             default:
                 break;
             }
-            one.send_request(class_index(random() % 2));
-            one.advance_to(one.now + 0.05);
+            fixture.send_request(class_index(random() % 2));
+            fixture.advance_to(fixture.now + 0.05);
             if (random() % 3 != 0)
-                one.finish_attempts();
+                fixture.finish_attempts();
         }
-        one.finish_attempts();
-        one.advance_to(one.now + 4);
-        one.finish_attempts();
-        one.advance_to(one.now + 1);
-        CHECK(one.live.empty());
-        for (const int each : one.answered)
-            CHECK(each == 1);
-        const auto now = one.subject->subset();
-        CHECK(now.ready_endpoints ==
-              static_cast<index>(std::ranges::count(one.state, endpoint_state::ready)));
-        CHECK(now.selected_endpoints >= std::min<index>(6, now.ready_endpoints));
+        fixture.finish_attempts();
+        fixture.advance_to(fixture.now + 4);
+        fixture.finish_attempts();
+        fixture.advance_to(fixture.now + 1);
+        CHECK(fixture.open_requests.empty());
+        for (const int response_count : fixture.response_counts)
+            CHECK(response_count == 1);
+        const auto subset = fixture.subject->subset();
+        CHECK(subset.ready_endpoints ==
+              static_cast<index>(std::ranges::count(fixture.state, endpoint_state::ready)));
+        CHECK(subset.selected_endpoints >= std::min<index>(6, subset.ready_endpoints));
     }
 }
 
--- a/tests/subsets/traffic_estimator_test.cpp
+++ b/tests/subsets/traffic_estimator_test.cpp
@@ -7,7 +7,7 @@
 namespace harrierpass::subsets {
 namespace {
 
-// One request of a single attempt at endpoint 0.
+// Records a request with a single attempt at endpoint 0.
 void run_request(traffic_estimator &traffic, double received_at, double finished_at, bool fetched = false) {
     request_class settings;
     settings.latency_objective = 1;
@@ -19,7 +19,7 @@
 
 } // namespace
 
-TEST_CASE("traffic estimator: the rate and the attempts in flight of steady traffic") {
+TEST_CASE("traffic estimator: steady traffic gives its rate and its mean number of attempts in flight") {
     traffic_estimator traffic;
     for (int i = 0; i < 1000; ++i)
         run_request(traffic, 10 + i * 0.1, 10.05 + i * 0.1);
@@ -39,13 +39,13 @@
     CHECK(traffic.has_enough_samples());
 }
 
-TEST_CASE("traffic estimator: an attempt counts in flight until it finishes or its request is released") {
+TEST_CASE("traffic estimator: an attempt is in flight until it finishes or its request is released") {
     traffic_estimator traffic;
     traffic.on_request(0, 3_request, {});
     traffic.on_attempt_started(0, 3_request, 5_endpoint);
     traffic.on_attempt_started(0, 3_request, 6_endpoint);
     CHECK(traffic.in_flight(5_endpoint) == 1);
-    CHECK(traffic.in_flight(7_endpoint) == 0); // never seen
+    CHECK(traffic.in_flight(7_endpoint) == 0); // without attempts
     traffic.on_attempt_finished(1, 3_request, 0_attempt, true, false);
     traffic.on_attempt_finished(1, 3_request, 0_attempt, true, false); // reported twice
     traffic.on_attempt_finished(1, 3_request, 2_attempt, true, false); // never started
@@ -55,7 +55,8 @@
     CHECK(traffic.in_flight(6_endpoint) == 0);
 }
 
-TEST_CASE("traffic estimator: the share of fetches is forgotten with the level, what late ones lose is not") {
+TEST_CASE(
+    "traffic estimator: a change of level resets the share of fetches but not the loss by late fetches") {
     traffic_estimator traffic;
     for (int i = 0; i < 400; ++i)
         run_request(traffic, i * 10, i * 10 + (i % 2 == 0 ? 2 : 0.5), i % 2 == 0);
