--- a/src/simulator_adapter/adapter.cpp
+++ b/src/simulator_adapter/adapter.cpp
@@ -10,7 +10,7 @@
 namespace harrierpass::simulator_adapter {
 namespace {
 
-constexpr std::size_t max_reported_line = 80; // bytes of a line that an error shows
+constexpr std::size_t max_reported_line = 80; // bytes of the line in an error message
 
 } // namespace
 
@@ -18,7 +18,7 @@
     : input_(input), output_(output), errors_(errors) {}
 
 bool adapter::read_line() {
-    if (std::exchange(rereads_line_, false))
+    if (std::exchange(reread_line_, false))
         return true;
     ++line_number_;
     return static_cast<bool>(std::getline(input_, line_));
@@ -31,14 +31,14 @@
 
 int adapter::run() {
     while (read_line()) {
-        const bool opens = opens_batch(line_);
-        if (opens == is_in_batch_) {
-            report_error(is_in_batch_ ? "a batch inside a batch; cannot follow"
-                                      : "outside a batch; cannot follow");
+        const bool is_batch_start = opens_batch(line_);
+        if (is_batch_start == is_in_batch_) {
+            report_error(is_in_batch_ ? "a batch begins inside a batch; stopping"
+                                      : "message outside a batch; stopping");
             return 1;
         }
         try {
-            if (opens)
+            if (is_batch_start)
                 begin_batch();
             else if (closes_batch(line_))
                 end_batch();
@@ -46,7 +46,7 @@
                 apply_line();
         } catch (const parse_error &error) {
             report_error(error.reason);
-            if (opens)
+            if (is_batch_start)
                 return 1;
         }
     }
@@ -98,7 +98,7 @@
     case message_kind::health_check_finished:
         return finish_health_check(target, line);
     case message_kind::timer:
-        return target.decides->on_timer(now_);
+        return target.instance_router->on_timer(now_);
     case message_kind::response_started:
     case message_kind::client_disconnected:
         return apply_request_event(kind, target, line);
@@ -106,7 +106,7 @@
     case message_kind::start_instance:
     case message_kind::peer_messages:
     case message_kind::stop_instance:
-        break; // not for a running instance
+        break; // not addressed to a running instance
     }
 }
 
@@ -118,8 +118,8 @@
         if (!read_line()) // run() reports the end of the input
             return;
         if (!is_endpoint_list_entry(line_)) {
-            rereads_line_ = true;
-            throw parse_error{"a list shorter than it says; dropped"};
+            reread_line_ = true;
+            throw parse_error{"the list has fewer entries than its header says; discarded"};
         }
         try {
             entries.push_back(parse_endpoint_list_entry(line_));
@@ -132,10 +132,10 @@
 
 void adapter::start_instance(line_parser &line) {
     const start_instance_message message = parse_start_instance(line);
-    instance &started = instances_[message.instance_number] = instance{};
-    started.class_count = static_cast<index>(message.settings.request_classes.size());
-    started.decides = subsets::make_subset_router(message.settings, message.seed, now_);
-    append_actions(message.instance_number, started);
+    instance &new_instance = instances_[message.instance_number] = instance{};
+    new_instance.class_count = static_cast<index>(message.settings.request_classes.size());
+    new_instance.instance_router = subsets::make_subset_router(message.settings, message.seed, now_);
+    append_actions(message.instance_number, new_instance);
 }
 
 void adapter::update_endpoints(instance &target, line_parser &line) {
@@ -153,7 +153,7 @@
                 info.endpoint = target.endpoint_ids.add(entry.id);
         }
     }
-    target.decides->on_endpoints_updated(now_, message.kind, entries);
+    target.instance_router->on_endpoints_updated(now_, message.kind, entries);
 }
 
 void adapter::receive_request(instance &target, line_parser &line) {
@@ -163,7 +163,7 @@
     if (target.request_ids.find(message.request_id) != none)
         throw parse_error{"the id came before"};
     message.request.request = target.request_ids.add(message.request_id);
-    target.decides->on_request(now_, message.request);
+    target.instance_router->on_request(now_, message.request);
 }
 
 void adapter::finish_attempt(instance &target, line_parser &line) {
@@ -171,16 +171,16 @@
     const request_index request = target.request_ids.find(message.request_id);
     if (request == none)
         throw parse_error{"unknown request"};
-    target.decides->on_attempt_finished(now_, request, message.attempt, message.result, message.is_final,
-                                        message.fetched, message.report);
+    target.instance_router->on_attempt_finished(now_, request, message.attempt, message.result,
+                                                message.is_final, message.fetched, message.report);
 }
 
 void adapter::finish_health_check(instance &target, line_parser &line) {
     const health_check_finished_message message = parse_health_check_finished(line);
     const endpoint_index endpoint = target.endpoint_ids.find(message.endpoint_id);
     if (endpoint == none)
-        throw parse_error{"unknown cache node"};
-    target.decides->on_health_check_finished(now_, endpoint, message.answered, message.report);
+        throw parse_error{"unknown endpoint"};
+    target.instance_router->on_health_check_finished(now_, endpoint, message.answered, message.report);
 }
 
 void adapter::apply_request_event(message_kind kind, instance &target, line_parser &line) {
@@ -188,25 +188,25 @@
     if (request == none)
         return;
     if (kind == message_kind::response_started)
-        target.decides->on_response_started(now_, request);
+        target.instance_router->on_response_started(now_, request);
     else
-        target.decides->on_client_disconnected(now_, request);
+        target.instance_router->on_client_disconnected(now_, request);
 }
 
-void adapter::append_actions(index instance_number, instance &source) {
-    for (const auto &decided : source.decides->actions) {
-        if (decided.kind == action_kind::release_request) {
-            source.request_ids.release(decided.request);
+void adapter::append_actions(index instance_number, instance &target) {
+    for (const auto &router_action : target.instance_router->actions) {
+        if (router_action.kind == action_kind::release_request) {
+            target.request_ids.release(router_action.request);
             continue;
         }
         action_ids ids;
-        if (decided.request != none)
-            ids.request = source.request_ids.id(decided.request);
-        if (decided.endpoint != none)
-            ids.endpoint = source.endpoint_ids.id(decided.endpoint);
-        append_action(reply_, instance_number, decided, ids);
+        if (router_action.request != none)
+            ids.request = target.request_ids.id(router_action.request);
+        if (router_action.endpoint != none)
+            ids.endpoint = target.endpoint_ids.id(router_action.endpoint);
+        append_action(reply_, instance_number, router_action, ids);
     }
-    source.decides->actions.clear();
+    target.instance_router->actions.clear();
 }
 
 adapter::instance &adapter::find_instance(index instance_number) {
--- a/src/simulator_adapter/adapter.hpp
+++ b/src/simulator_adapter/adapter.hpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-// Runs routers for the simulator: reads batches of messages, applies each to the router of its instance and
-// writes what the routers decide. It decides nothing itself. One thread; the streams belong to the caller.
+// Runs routers for the simulator: reads batches of messages, passes each message to the router of its
+// instance and writes the routers' actions. Makes no routing decisions itself. Single-threaded; the caller
+// owns the streams.
 #pragma once
 
 #include "router/router.hpp"
@@ -16,36 +17,36 @@
 
 namespace harrierpass::simulator_adapter {
 
-// Invariant: a message that cannot be used is reported and skipped, and the ones after it are applied. Only
-// where the order of batches is broken, or a batch has no time, does the run end, as nothing after it is
-// sure.
+// Invariant: an invalid message is reported and skipped, and later messages are applied. The run ends only if
+// the order of batches is invalid or a batch has no time, as later messages could not be interpreted.
 class adapter {
 public:
-    // `errors` takes a line for each message that cannot be used.
+    // Writes one line to `errors` for each invalid message.
     adapter(std::istream &input, std::FILE *output, std::ostream &errors);
 
-    // Runs to the end of the input. Returns the program's exit status.
+    // Processes the input to its end. Returns the exit status of the program.
     int run();
 
 private:
-    // A router and the ids of its requests and endpoints.
+    // Router with the ids of its requests and endpoints.
     struct instance {
-        std::unique_ptr<router> decides;
+        std::unique_ptr<router> instance_router;
         id_table<request_index> request_ids;
         id_table<endpoint_index> endpoint_ids;
         index class_count = 0;
     };
 
-    // Reads a line, or the one at hand once more; false at the end of the input.
+    // Reads the next line, or keeps the current one if it is to be read again. Returns false at the end of
+    // the input.
     bool read_line();
-    // Reports the line at hand as unusable.
+    // Writes an error for the current line.
     void report_error(const char *reason);
 
-    // Takes the time of a batch.
+    // Starts a batch with the time in the current line.
     void begin_batch();
-    // Sends the reply.
+    // Writes the reply to the batch.
     void end_batch();
-    // Applies the message at hand.
+    // Applies the message in the current line.
     void apply_line();
     // Applies a message to a running instance.
     void apply_to_instance(message_kind kind, instance &target, line_parser &line);
@@ -54,32 +55,32 @@
     void read_endpoint_list(line_parser &header_line);
     // Starts a router with the settings of the message.
     void start_instance(line_parser &line);
-    // Gives indices to the ids of a list and passes it on.
+    // Assigns indices to the ids of an endpoint list and passes the list to the router.
     void update_endpoints(instance &target, line_parser &line);
-    // Gives an index to a new request and passes it on.
+    // Assigns an index to a new request and passes the request to the router.
     void receive_request(instance &target, line_parser &line);
-    // Passes on the end of an attempt.
+    // Passes the result of an attempt to the router.
     void finish_attempt(instance &target, line_parser &line);
-    // Passes on the end of a health check.
+    // Passes the result of a health check to the router.
     void finish_health_check(instance &target, line_parser &line);
-    // Passes on an event of a request; one that was released in this very batch is skipped.
+    // Passes an event of a request to the router. Ignores a request that was already released.
     void apply_request_event(message_kind kind, instance &target, line_parser &line);
 
     // Moves the router's actions to the reply.
-    void append_actions(index instance_number, instance &source);
-    // The instance of this number; throws parse_error where none runs.
+    void append_actions(index instance_number, instance &target);
+    // Returns the instance with this number. Throws parse_error if there is none.
     instance &find_instance(index instance_number);
 
     std::istream &input_;
     std::FILE *output_;
     std::ostream &errors_;
 
-    double now_ = 0; // s, of the batch
+    double now_ = 0; // time of the batch in seconds
     bool is_in_batch_ = false;
-    std::string line_;            // at hand
-    std::size_t line_number_ = 0; // of line_, from 1
-    bool rereads_line_ = false;   // line_ is still to be applied
-    std::string reply_;           // to the batch so far
+    std::string line_;            // current line
+    std::size_t line_number_ = 0; // number of line_, starting at 1
+    bool reread_line_ = false;    // whether read_line() returns line_ again
+    std::string reply_;           // reply to the current batch
     std::map<index, instance> instances_;
     std::map<index, std::vector<endpoint_list_entry>> endpoint_lists_;
 };
--- a/src/simulator_adapter/id_table.hpp
+++ b/src/simulator_adapter/id_table.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// The simulator's text ids and the small indices that a router knows them by.
+// Maps the simulator's text ids to the indices that a router uses.
 #pragma once
 
 #include "router/indexed_vector.hpp"
@@ -12,43 +12,43 @@
 
 namespace harrierpass::simulator_adapter {
 
-// Ids of one kind, by `Index`, a typed_index.
+// Ids of one kind with their indices. `Index` is a typed_index.
 //
-// Invariant: an index belongs to one id from add() until release(); a released one is given out again, the
-// latest first. The text of a released id stays readable until then.
+// Invariant: an index belongs to one id from add() until release(). Released indices are reused, the latest
+// first. The text of a released id stays valid until its index is reused.
 template <typename Index> class id_table {
 public:
-    // The index of an id; none where it has none.
+    // Returns the index of an id, or none.
     Index find(std::string_view id) const {
         const auto found = indices_.find(id);
         return found == indices_.end() ? none : found->second;
     }
-    // Gives an index to an id that has none.
+    // Assigns an index to an id that has none.
     Index add(std::string_view id) {
-        Index added = none;
+        Index new_index = none;
         if (free_.empty()) {
-            added = ids_.add(std::string(id));
+            new_index = ids_.add(std::string(id));
         } else {
-            added = free_.back();
+            new_index = free_.back();
             free_.pop_back();
-            ids_[added] = id;
+            ids_[new_index] = id;
         }
-        indices_.emplace(id, added);
-        return added;
+        indices_.emplace(id, new_index);
+        return new_index;
     }
-    // The id's index may be given to another one.
-    void release(Index released) {
-        indices_.erase(ids_[released]);
-        free_.push_back(released);
+    // Releases an index for reuse.
+    void release(Index id_index) {
+        indices_.erase(ids_[id_index]);
+        free_.push_back(id_index);
     }
-    // The id of an index.
-    const std::string &id(Index of) const { return ids_[of]; }
+    // Returns the id of an index.
+    const std::string &id(Index id_index) const { return ids_[id_index]; }
 
 private:
-    // Lets find() look a text up without a copy.
+    // Transparent hash, so that find() does not copy the text.
     struct text_hash {
         using is_transparent = void;
-        // Equal for texts of any type.
+        // Returns the same hash for all string types.
         std::size_t operator()(std::string_view text) const { return std::hash<std::string_view>{}(text); }
     };
 
--- a/src/simulator_adapter/line_parser.cpp
+++ b/src/simulator_adapter/line_parser.cpp
@@ -11,7 +11,7 @@
     is_at_end_ = space == std::string_view::npos;
     remaining_ = is_at_end_ ? std::string_view{} : remaining_.substr(space + 1);
     if (value.empty())
-        throw parse_error{"an empty value"};
+        throw parse_error{"empty value"};
     return value;
 }
 
--- a/src/simulator_adapter/line_parser.hpp
+++ b/src/simulator_adapter/line_parser.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// Reads the values of one line of the simulator's protocol, which are separated by single spaces; "-" stands
-// for a value that is absent. No I/O.
+// Parses the values in one line of the simulator's protocol. They are separated by single spaces; "-" is an
+// absent value. No I/O.
 #pragma once
 
 #include "base/text.hpp"
@@ -10,37 +10,37 @@
 
 namespace harrierpass::simulator_adapter {
 
-// Takes values off a line from the left. Every reader throws parse_error where the value is missing or
-// malformed. Does not own the line's text.
+// Reads the values of a line from left to right. Every reader throws parse_error if the value is missing or
+// malformed. Does not own the text of the line.
 class line_parser {
 public:
-    // Begins at the left end of the line.
+    // Starts at the beginning of the line.
     explicit line_parser(std::string_view line) : remaining_(line) {}
 
-    // The next value as text; it is not empty.
+    // Reads the next value as text, which is never empty.
     std::string_view word();
-    // Takes the next value, which decides nothing.
+    // Skips the next value.
     void skip() { word(); }
-    // What is left of the line.
+    // Remaining text of the line.
     std::string_view rest() const { return remaining_; }
-    // The next value as a number; `fault` is the error where it is none.
-    template <typename Number> Number number(const char *fault) {
-        const auto value = optional_number<Number>(fault);
+    // Reads the next value as a number; `error_message` is the error if it is not a number.
+    template <typename Number> Number number(const char *error_message) {
+        const auto value = optional_number<Number>(error_message);
         if (!value)
-            throw parse_error{fault};
+            throw parse_error{error_message};
         return *value;
     }
-    // The next value as a number, or nothing where it is absent.
-    template <typename Number> std::optional<Number> optional_number(const char *fault) {
+    // Reads the next value as a number; empty if the value is absent.
+    template <typename Number> std::optional<Number> optional_number(const char *error_message) {
         const std::string_view value = word();
         if (value == "-")
             return std::nullopt;
-        return parse_number<Number>(value, fault);
+        return parse_number<Number>(value, error_message);
     }
 
 private:
     std::string_view remaining_;
-    bool is_at_end_ = false; // the last value was taken
+    bool is_at_end_ = false; // whether the last value was read
 };
 
 } // namespace harrierpass::simulator_adapter
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// The simulator's router: reads messages from the standard input, writes decisions to the standard output.
+// Runs routers for the simulator: reads messages from standard input and writes actions to standard output.
 #include "simulator_adapter/adapter.hpp"
 
 #include <iostream>
--- a/src/simulator_adapter/wire_messages.cpp
+++ b/src/simulator_adapter/wire_messages.cpp
@@ -14,11 +14,11 @@
 using std::string_view;
 
 constexpr double milliseconds_per_second = 1000;
-constexpr std::uint64_t write_flag = 4;          // in a request's flags
-constexpr index first_fetched_detail = 2;        // an attempt's detail from here on: the origin was asked
-constexpr std::uint32_t seed_range = 2147483647; // the router's seeds are below this
+constexpr std::uint64_t write_flag = 4;   // bit in the flags of a request
+constexpr index first_fetched_detail = 2; // minimum detail of an attempt that was fetched from the origin
+constexpr std::uint32_t seed_range = 2147483647; // exclusive limit of the router's seeds
 constexpr string_view list_entry_prefix = "ITEM ";
-constexpr string_view in_flight_field = "concurrent:"; // of a load report
+constexpr string_view in_flight_field = "concurrent:"; // field of a load report
 
 template <typename Kind, std::size_t size> using name_table = std::array<std::pair<string_view, Kind>, size>;
 
@@ -53,17 +53,17 @@
                                                    {"Miss", outcome::cache_miss}}};
 constexpr name_table<bool, 2> final_names = {{{"0", false}, {"1", true}}};
 
-// The kind that a word stands for; throws parse_error with the fault where it stands for none.
+// Returns the kind with this name. Throws parse_error with `error_message` if there is none.
 template <typename Kind, std::size_t size>
-Kind kind_of(string_view word, const name_table<Kind, size> &names, const char *fault) {
+Kind kind_of(string_view word, const name_table<Kind, size> &names, const char *error_message) {
     const auto found = std::ranges::find(names, word, [](const auto &each) { return each.first; });
     if (found == names.end())
-        throw parse_error{fault};
+        throw parse_error{error_message};
     return found->second;
 }
 
-// Takes a load report off the line; its other fields are ignored. A report that is missing or malformed
-// counts as none, so that it never spoils the result that it came with.
+// Parses a load report and ignores its unknown fields. A missing or malformed report counts as no report, so
+// that the result in the same message is still used.
 load_report parse_load_report(line_parser &line) {
     load_report report;
     try {
@@ -73,7 +73,7 @@
             fields = field.size() < fields.size() ? fields.substr(field.size() + 1) : string_view{};
             if (field.starts_with(in_flight_field))
                 report.in_flight =
-                    parse_number<double>(field.substr(in_flight_field.size()), "a report is no number");
+                    parse_number<double>(field.substr(in_flight_field.size()), "the load is no number");
         }
     } catch (const parse_error &) {
         report = {};
@@ -91,8 +91,8 @@
     reply.append(text.data(), end);
 }
 
-// The word that begins an action's line.
-string_view word_of(action_kind kind) {
+// Returns the first word of an action's line.
+string_view action_name(action_kind kind) {
     switch (kind) {
     case action_kind::start_attempt:
         return "CALL_OUT";
@@ -131,7 +131,7 @@
 double parse_batch_time(string_view line) {
     line_parser values(line);
     values.skip();
-    return values.number<double>("the clock is no number") / milliseconds_per_second;
+    return values.number<double>("the batch time is no number") / milliseconds_per_second;
 }
 
 index parse_instance_number(line_parser &line) {
@@ -153,7 +153,7 @@
     line_parser values(line);
     values.skip();
     endpoint_list_entry entry;
-    const auto started_at = values.optional_number<double>("the start is no number");
+    const auto started_at = values.optional_number<double>("the start time is no number");
     entry.info.started_at = started_at.value_or(0) / milliseconds_per_second;
     entry.info.kind = kind_index(values.optional_number<index>("the kind is no number").value_or(none));
     entry.info.weight = values.optional_number<double>("the size is no number").value_or(1);
@@ -175,7 +175,7 @@
 
 endpoints_updated_message parse_endpoints_updated(line_parser &line) {
     endpoints_updated_message message;
-    message.kind = kind_of(line.word(), update_names, "unknown kind of list");
+    message.kind = kind_of(line.word(), update_names, "unknown kind of endpoint update");
     if (message.kind == endpoint_update_kind::poll_failed)
         return message;
     line.skip();
@@ -187,7 +187,7 @@
     request_received_message message;
     message.request_id = line.word();
     request_info &request = message.request;
-    const auto flags = line.optional_number<std::uint64_t>("the bits are no number").value_or(0);
+    const auto flags = line.optional_number<std::uint64_t>("the flags are no number").value_or(0);
     request.is_write = (flags & write_flag) != 0;
     line.skip(); // the size of the value
     request.class_id = class_index(line.number<index>("the class is no number"));
@@ -204,9 +204,9 @@
     attempt_finished_message message;
     message.request_id = line.word();
     message.attempt = attempt_number(line.number<index>("the attempt is no number"));
-    line.skip(); // the endpoint, which the router knows
+    line.skip(); // the endpoint, which the router has stored
     message.result = kind_of(line.word(), outcome_names, "unknown outcome");
-    line.skip(); // the time it took
+    line.skip(); // the duration
     message.is_final = kind_of(line.word(), final_names, "noMore is neither 0 nor 1");
     const auto detail = line.optional_number<index>("the detail is no number").value_or(0);
     message.fetched = detail >= first_fetched_detail;
@@ -219,26 +219,27 @@
     message.endpoint_id = line.word();
     message.answered = line.word() == "Ok";
     if (!line.rest().empty())
-        line.skip(); // the time it took
+        line.skip(); // the duration
     message.report = parse_load_report(line);
     return message;
 }
 
-void append_action(std::string &reply, index instance_number, const action &decided, const action_ids &ids) {
-    const string_view word = word_of(decided.kind);
-    if (word.empty())
+void append_action(std::string &reply, index instance_number, const action &router_action,
+                   const action_ids &ids) {
+    const string_view name = action_name(router_action.kind);
+    if (name.empty())
         return;
-    reply.append(word).append(" ").append(std::to_string(instance_number)).append(" ");
-    switch (decided.kind) {
+    reply.append(name).append(" ").append(std::to_string(instance_number)).append(" ");
+    switch (router_action.kind) {
     case action_kind::start_attempt:
         reply.append(ids.request).append(" ").append(ids.endpoint).append(" -");
         break;
     case action_kind::cancel_attempt:
-        reply.append(ids.request).append(" ").append(std::to_string(decided.attempt.value()));
+        reply.append(ids.request).append(" ").append(std::to_string(router_action.attempt.value()));
         break;
     case action_kind::reject_request:
         reply.append(ids.request).append(" ");
-        append_milliseconds(reply, decided.time);
+        append_milliseconds(reply, router_action.time);
         break;
     case action_kind::fail_request:
         reply.append(ids.request);
@@ -247,7 +248,7 @@
         reply.append(ids.endpoint);
         break;
     case action_kind::set_timer:
-        append_milliseconds(reply, decided.time);
+        append_milliseconds(reply, router_action.time);
         reply.append(" sweep");
         break;
     case action_kind::watch_endpoints:
