--- a/src/settings/field_reader.cpp
+++ b/src/settings/field_reader.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr double milliseconds_per_second = 1000;
-constexpr double max_count = 65536; // more of anything than a deployment has
+constexpr double max_count = 65536; // more than any deployment needs
 
 } // namespace
 
@@ -24,30 +24,30 @@
     return value == "true" || value == "1";
 }
 
-double field_reader::number(const std::string &path, double absent) const {
+double field_reader::number(const std::string &path, double default_value) const {
     const string_view value = text(path);
     if (value.empty() || value == "-")
-        return absent;
+        return default_value;
     const std::string message = "settings." + path + " is no number";
     return parse_number<double>(value, message.c_str(), {.path = path, .offset = {}});
 }
 
-double field_reader::seconds(const std::string &path, double absent) const {
-    return number(path, absent * milliseconds_per_second) / milliseconds_per_second;
+double field_reader::seconds(const std::string &path, double default_value) const {
+    return number(path, default_value * milliseconds_per_second) / milliseconds_per_second;
 }
 
-index field_reader::count(const std::string &path, index absent) const {
+index field_reader::count(const std::string &path, index default_value) const {
     if (text(path).empty())
-        return absent;
-    const double value = number(path, absent);
+        return default_value;
+    const double value = number(path, default_value);
     if (value > max_count)
         throw parse_error(parse_fault::out_of_range, {.path = path, .offset = {}}, "a count is too large");
     return value < 0 ? none : static_cast<index>(value);
 }
 
-double field_reader::number_within(const std::string &path, double absent, double minimum,
+double field_reader::number_within(const std::string &path, double default_value, double minimum,
                                    double maximum) const {
-    const double value = number(path, absent);
+    const double value = number(path, default_value);
     if (value < minimum || value > maximum) {
         std::ostringstream message;
         message << "settings." << path << " is " << value << ", not from " << minimum << " to " << maximum;
@@ -56,9 +56,9 @@
     return value;
 }
 
-double field_reader::seconds_within(const std::string &path, double absent, double minimum,
+double field_reader::seconds_within(const std::string &path, double default_value, double minimum,
                                     double maximum) const {
-    return number_within(path, absent * milliseconds_per_second, minimum * milliseconds_per_second,
+    return number_within(path, default_value * milliseconds_per_second, minimum * milliseconds_per_second,
                          maximum * milliseconds_per_second) /
            milliseconds_per_second;
 }
--- a/src/settings/settings_reader.cpp
+++ b/src/settings/settings_reader.cpp
@@ -10,15 +10,15 @@
 
 using std::string_view;
 
-// Bounds of what a deployment may ask for; beyond them a unit was taken for another one.
-constexpr double max_duration = 86400;          // s
-constexpr double max_cost = 100;                // of a response's value
-constexpr double max_weight = 1e9;              // of a request class
+// Bounds of settings. A value beyond them is assumed to be in a wrong unit.
+constexpr double max_duration = 86400;          // in seconds
+constexpr double max_cost = 100;                // in units of a response's value
+constexpr double max_weight = 1e9;              // weight of a request class
 constexpr double max_quota = 1e9;               // requests per second
-constexpr double max_event_batch_interval = 1;  // s
-constexpr double min_latency_objective = 0.001; // s; 0 would make every response late
+constexpr double max_event_batch_interval = 1;  // in seconds
+constexpr double min_latency_objective = 0.001; // in seconds; with 0, every response would be late
 
-// The names that the settings' format has for our kinds.
+// Names of enumerators in the settings format.
 constexpr std::array<std::pair<string_view, effect_kind>, 3> effect_setting_names = {
     {{"idempotent", effect_kind::idempotent},
      {"deduplicated", effect_kind::deduplicated},
@@ -81,7 +81,8 @@
     return result;
 }
 
-// The kind of the list's origin entry; none where endpoints fetch for themselves.
+// Returns the kind of the origin entry in the endpoint list; none if endpoints fetch from the origin
+// themselves.
 kind_index read_origin_kind(const field_reader &fields) {
     const bool proxies_fetch = fields.choice("familyInfo.mode", {"through", "aside"}) == "aside";
     return proxies_fetch ? kind_index(fields.count("familyInfo.originKind", none)) : none;
--- a/tests/settings/field_reader_test.cpp
+++ b/tests/settings/field_reader_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Typed access to settings: values, bounds, absence, and the errors that name place and fault.
+// Tests typed access to settings: values, defaults, bounds, and errors with path and fault.
 #include "settings/field_reader.hpp"
 
 #include "base/json.hpp"
@@ -13,7 +13,7 @@
 namespace harrierpass {
 namespace {
 
-// The error that `read` ends with.
+// Returns the error that `read` throws.
 template <typename Read> parse_error error_of(Read read) {
     try {
         read();
@@ -35,7 +35,7 @@
 
 } // namespace
 
-TEST_CASE("settings: values and their absence") {
+TEST_CASE("settings: present values are converted, and absent values get their defaults") {
     const field_reader fields = read_fields("a.ms=250 a.flag=true a.one=1 a.count=-1 a.dash=- a.text=x=y");
     CHECK(fields.text("a.text") == "x=y");
     CHECK(fields.text("b").empty());
@@ -54,7 +54,7 @@
     CHECK(fields.choice("a.flag", {"true", "false"}) == "true");
 }
 
-TEST_CASE("settings: bounds include their ends") {
+TEST_CASE("settings: bounds are inclusive") {
     const field_reader fields = read_fields("low=1 high=2 ms=500");
     CHECK(fields.number_within("low", 0, 1, 2) == 1);
     CHECK(fields.number_within("high", 0, 1, 2) == 2);
@@ -65,7 +65,7 @@
                 "settings.ms is 500, not from 0 to 250");
 }
 
-TEST_CASE("settings: errors name place and fault") {
+TEST_CASE("settings: errors contain the path and the fault") {
     const field_reader fields = read_fields("word=abc huge=1e400 large=65537 empty=");
     check_error(error_of([&] { fields.number("word", 0); }), parse_fault::not_a_number, "word",
                 "settings.word is no number");
@@ -85,13 +85,13 @@
                 "settings without use cases");
 }
 
-TEST_CASE("settings: a pair without '=' is named by its offset") {
+TEST_CASE("settings: the error for a pair without '=' contains its offset") {
     const parse_error error = error_of([] { read_fields("a=1 b=22 c"); });
     check_error(error, parse_fault::malformed, "", "a setting without '='");
     CHECK(error.details->location.offset == 9);
 }
 
-TEST_CASE("JSON: errors name the offset") {
+TEST_CASE("JSON: errors contain the offset") {
     const parse_error malformed = error_of([] { read_json(R"({"a":1,})"); });
     check_error(malformed, parse_fault::malformed, "", "JSON: expected a member name");
     CHECK(malformed.details->location.offset == 7);
