--- a/src/testbed/verification/rule_checker.cpp
+++ b/src/testbed/verification/rule_checker.cpp
@@ -13,186 +13,205 @@
 namespace harrierpass::testbed {
 namespace {
 
-constexpr double record_lifetime = 30;   // s after its last try in which an operation may still be executed
-constexpr std::size_t max_histories = 5; // a run that breaks more of them tells nothing new
-constexpr double catch_up_time = 0.3; // s after a pause in which a proxy may still be late with its answers
+// Seconds after the end of its last client attempt in which an operation may still run at a server.
+constexpr double record_lifetime = 30;
+constexpr std::size_t max_histories = 5; // further violations in a run add no information
+// Seconds after a pause or a link impairment in which a proxy may still respond or send late.
+constexpr double catch_up_time = 0.3;
 
 constexpr std::array<const char *, static_cast<std::size_t>(rule::total)> rule_names = {
     "lost", "answered_twice", "two_out", "ran_twice", "drain", "cold", "late", "wrong_body"};
 
-constexpr std::array<const char *, 9> step_names = {
-    "asked of proxy",      "completed by proxy",  "rejected by proxy", "aborted by proxy", "cut by proxy",
-    "unanswered by proxy", "execution at server", "over at server",    "ran at server"};
-
-template <typename Value> Value &grown_at(std::vector<Value> &in, index at) {
-    if (at >= in.size())
-        in.resize(at + 1);
-    return in[at];
+constexpr std::array<const char *, 9> step_names = {"sent to proxy",
+                                                    "completed by proxy",
+                                                    "rejected by proxy",
+                                                    "aborted by proxy",
+                                                    "cut by proxy",
+                                                    "no response from proxy",
+                                                    "attempt received by server",
+                                                    "attempt ended at server",
+                                                    "effect executed at server"};
+
+// Returns the element at the position; grows the vector if it is too short.
+template <typename Value> Value &element_at(std::vector<Value> &values, index position) {
+    if (position >= values.size())
+        values.resize(position + 1);
+    return values[position];
 }
 
 } // namespace
 
-const char *name_of(rule which) {
-    return rule_names[static_cast<std::size_t>(which)];
+const char *name_of(rule broken_rule) {
+    return rule_names[static_cast<std::size_t>(broken_rule)];
 }
 
 std::uint64_t rule_checker::broken() const {
-    return std::accumulate(broken_.begin(), broken_.end(), overlaps_due());
+    return std::accumulate(broken_.begin(), broken_.end(), due_overlaps());
 }
 
-std::uint64_t rule_checker::broken(rule which) const {
-    return broken_[static_cast<std::size_t>(which)] + (which == rule::two_out ? overlaps_due() : 0);
+std::uint64_t rule_checker::broken(rule broken_rule) const {
+    return broken_[static_cast<std::size_t>(broken_rule)] +
+           (broken_rule == rule::two_out ? due_overlaps() : 0);
 }
 
-std::uint64_t rule_checker::overlaps_due() const {
+std::uint64_t rule_checker::due_overlaps() const {
     const double until = clock_.now() - slack_;
     return static_cast<std::uint64_t>(std::count_if(overlaps_.begin(), overlaps_.end(),
-                                                    [&](const overlap &each) { return each.when <= until; }));
+                                                    [&](const overlap &each) { return each.time <= until; }));
 }
 
-rule_checker::record *rule_checker::find(operation op) {
+rule_checker::operation_record *rule_checker::find(operation op) {
     const auto found = records_.find(op);
     return found == records_.end() ? nullptr : &found->second;
 }
 
-rule_checker::open_attempt *rule_checker::find(record &of, index attempt) {
-    const auto found = std::find_if(of.tries.begin(), of.tries.end(),
-                                    [&](const open_attempt &each) { return each.attempt == attempt; });
-    return found == of.tries.end() ? nullptr : &*found;
+rule_checker::client_attempt *rule_checker::find(operation_record &record, index attempt) {
+    auto &attempts = record.client_attempts;
+    const auto found = std::find_if(attempts.begin(), attempts.end(),
+                                    [&](const client_attempt &each) { return each.attempt == attempt; });
+    return found == attempts.end() ? nullptr : &*found;
 }
 
-void rule_checker::record_step(record &to, operation op, step_kind is, index attempt, index who) {
+void rule_checker::record_step(operation_record &record, operation op, step_kind kind, index attempt,
+                               index peer) {
     check_overlaps(clock_.now() - slack_);
-    to.steps.push_back({clock_.now(), is, attempt, who});
-    for (const std::uint64_t each :
-         {std::bit_cast<std::uint64_t>(clock_.now()), op, static_cast<std::uint64_t>(is),
-          std::uint64_t{attempt}, std::uint64_t{who}})
-        hash_ = (hash_ ^ each) * 1099511628211ULL; // FNV-1a by words
+    record.steps.push_back({clock_.now(), kind, attempt, peer});
+    for (const std::uint64_t word :
+         {std::bit_cast<std::uint64_t>(clock_.now()), op, static_cast<std::uint64_t>(kind),
+          std::uint64_t{attempt}, std::uint64_t{peer}})
+        hash_ = (hash_ ^ word) * 1099511628211ULL; // FNV-1a by words
     if (trace != nullptr)
         *trace << std::setprecision(17) << clock_.now() << ' ' << op << '.' << attempt << ' '
-               << step_names[static_cast<std::size_t>(is)] << ' ' << who << '\n';
+               << step_names[static_cast<std::size_t>(kind)] << ' ' << peer << '\n';
 }
 
-void rule_checker::request_sent(operation op, index attempt, index proxy, index use_case, double end) {
+void rule_checker::request_sent(operation op, index attempt, index proxy, index use_case, double deadline) {
     drop_old_records();
-    auto &of = records_[op];
-    of.use_case = use_case;
-    of.tries.push_back({attempt, proxy, 0, end, clock_.now()});
-    record_step(of, op, step_kind::asked, attempt, proxy);
+    auto &record = records_[op];
+    record.use_case = use_case;
+    record.client_attempts.push_back({attempt, proxy, 0, deadline, clock_.now()});
+    record_step(record, op, step_kind::request_sent, attempt, proxy);
 }
 
-void rule_checker::response_received(operation op, index attempt, reply how, bool body_fits) {
-    record *const of = find(op);
-    open_attempt *const one = of != nullptr ? find(*of, attempt) : nullptr;
-    if (one == nullptr)
-        return record_violation(rule::answered_twice, op, "an answer for a query that nobody asked");
-    if (one->gone) // the client has closed its connection: nothing reaches it any more
+void rule_checker::response_received(operation op, index attempt, reply response, bool body_matches) {
+    operation_record *const record = find(op);
+    client_attempt *const request = record != nullptr ? find(*record, attempt) : nullptr;
+    if (request == nullptr)
+        return record_violation(rule::answered_twice, op, "a response to a request that no client sent");
+    if (request->response_missing) // the client has closed its connection and receives nothing more
         return;
-    record_step(*of, op,
-                how == reply::completed  ? step_kind::completed
-                : how == reply::rejected ? step_kind::rejected
-                : how == reply::aborted  ? step_kind::aborted
-                                         : step_kind::cut,
-                attempt, one->proxy);
-    if (one->answered)
-        record_violation(rule::answered_twice, op, "a second answer for one query");
-    one->answered = true;
-    if (how == reply::completed && !body_fits)
-        record_violation(rule::wrong_body, op, "the answer was made for another query");
-    if (how == reply::rejected && of->effects > 0 &&
-        experiment_.use_cases[of->use_case].routing.effect == effect_kind::non_idempotent)
-        record_violation(rule::ran_twice, op, "rejected, so that its client may ask again, after it ran");
+    record_step(*record, op,
+                response == reply::completed  ? step_kind::completed
+                : response == reply::rejected ? step_kind::rejected
+                : response == reply::aborted  ? step_kind::aborted
+                                              : step_kind::cut,
+                attempt, request->proxy);
+    if (request->answered)
+        record_violation(rule::answered_twice, op, "a second response to one request");
+    request->answered = true;
+    if (response == reply::completed && !body_matches)
+        record_violation(rule::wrong_body, op, "the response was made for another request");
+    if (response == reply::rejected && record->effects > 0 &&
+        experiment_.use_cases[record->use_case].routing.effect == effect_kind::non_idempotent)
+        record_violation(rule::ran_twice, op, "rejected after it ran, so that its client may send it again");
 }
 
 void rule_checker::response_missing(operation op, index attempt) {
-    record *const of = find(op);
-    open_attempt *const one = of != nullptr ? find(*of, attempt) : nullptr;
-    if (one == nullptr || one->answered)
+    operation_record *const record = find(op);
+    client_attempt *const request = record != nullptr ? find(*record, attempt) : nullptr;
+    if (request == nullptr || request->answered)
         return;
-    record_step(*of, op, step_kind::unanswered, attempt, one->proxy);
-    one->answered = one->gone = true;
-    // What was asked while its proxy stood still lay there unread: how long, no proxy can tell.
-    const bool lay =
-        one->asked >= grown_at(paused_since_, one->proxy) && one->asked < grown_at(paused_until_, one->proxy);
-    const bool stood = lay || grown_at(paused_, one->proxy) > 0 ||
-                       grown_at(paused_until_, one->proxy) + catch_up_time > one->end;
-    // What reached a server had been read, whatever its client saw of the connection.
-    const bool forwarded = std::any_of(of->runs.begin(), of->runs.end(),
-                                       [&](const received_attempt &each) { return each.attempt == attempt; });
-    const bool excused = one->excused || (one->untaken && !forwarded);
-    if (!excused && !stood && !link_impaired(link_kind::client_proxy, 0, one->proxy, one->asked))
-        record_violation(rule::lost, op, "no answer before the client's end");
+    record_step(*record, op, step_kind::no_response, attempt, request->proxy);
+    request->answered = request->response_missing = true;
+    const index proxy = request->proxy;
+    // A request sent to a paused proxy waits unread in the socket, and no proxy can tell for how long.
+    const bool sent_during_pause = request->sent_at >= element_at(paused_since_, proxy) &&
+                                   request->sent_at < element_at(paused_until_, proxy);
+    const bool proxy_was_paused = sent_during_pause || element_at(active_pauses_, proxy) > 0 ||
+                                  element_at(paused_until_, proxy) + catch_up_time > request->deadline;
+    // A proxy that sent an attempt has read the request, whatever the client observed of the connection.
+    const bool forwarded = std::any_of(record->server_attempts.begin(), record->server_attempts.end(),
+                                       [&](const server_attempt &each) { return each.attempt == attempt; });
+    const bool excused = request->proxy_killed || (request->not_accepted && !forwarded);
+    if (!excused && !proxy_was_paused && !link_impaired(link_kind::client_proxy, 0, proxy, request->sent_at))
+        record_violation(rule::lost, op, "no response before the client's deadline");
 }
 
 void rule_checker::operation_finished(operation op) {
-    if (record *const of = find(op)) {
-        of->settled = true;
-        settled_.emplace_back(clock_.now(), op);
+    if (operation_record *const record = find(op)) {
+        record->finished = true;
+        finished_.emplace_back(clock_.now(), op);
     }
 }
 
 void rule_checker::request_not_accepted(operation op, index attempt) {
-    if (record *const of = find(op))
-        if (open_attempt *const one = find(*of, attempt))
-            one->untaken = true;
+    if (operation_record *const record = find(op))
+        if (client_attempt *const request = find(*record, attempt))
+            request->not_accepted = true;
 }
 
 void rule_checker::foreign_request_seen(operation op, index attempt, index use_case) {
-    record *const known = find(op);
+    operation_record *const known = find(op);
     if (!allow_unknown_requests || (known != nullptr && find(*known, attempt) != nullptr))
         return;
     drop_old_records();
-    auto &of = records_[op];
-    of.use_case = use_case;
-    of.tries.push_back({attempt, 0, 0, std::numeric_limits<double>::infinity(), clock_.now()});
-    if (!std::exchange(of.settled, true))
-        settled_.emplace_back(clock_.now(), op);
+    auto &record = records_[op];
+    record.use_case = use_case;
+    record.client_attempts.push_back({attempt, 0, 0, std::numeric_limits<double>::infinity(), clock_.now()});
+    if (!std::exchange(record.finished, true))
+        finished_.emplace_back(clock_.now(), op);
 }
 
-void rule_checker::attempt_received(operation op, index attempt, index server, double sent) {
+void rule_checker::attempt_received(operation op, index attempt, index server, double sent_at) {
     ++executions_;
     if (on_received)
         on_received(server);
-    record *const of = find(op);
-    open_attempt *const one = of != nullptr ? find(*of, attempt) : nullptr;
-    if (one == nullptr) // of a process that holds it longer than anybody remembers
-        return record_violation(rule::late, op, "sent to a server long after its client's end");
-    record_step(*of, op, step_kind::received, attempt, server);
-    of->runs.push_back(
-        {attempt, server, clock_.now(), link_impaired(link_kind::proxy_server, one->proxy, server, sent)});
-    // One that the server could not see end, for a link's sake, is over for its proxy.
-    if (one->out > 0 && link_impaired(link_kind::proxy_server, one->proxy, one->out_at, sent))
-        one->out = 0;
-    one->out_at = server;
-    // Nor is one that lay in a link while its proxy gave it up and sent the next.
-    // A proxy ends the earlier one's connection first, and its server may see that a moment later than this.
-    if (one->out++ > 0 && !link_impaired(link_kind::proxy_server, one->proxy, server, sent)) {
+    operation_record *const record = find(op);
+    client_attempt *const request = record != nullptr ? find(*record, attempt) : nullptr;
+    if (request == nullptr) // received after the record of its request was dropped
+        return record_violation(rule::late, op, "sent to a server long after its client's deadline");
+    const index proxy = request->proxy;
+    const bool server_link_impaired = link_impaired(link_kind::proxy_server, proxy, server, sent_at);
+    record_step(*record, op, step_kind::attempt_received, attempt, server);
+    record->server_attempts.push_back({attempt, server, clock_.now(), server_link_impaired});
+    // An impaired link can hide the end of an attempt from its server, while the proxy has ended it.
+    if (request->in_flight > 0 &&
+        link_impaired(link_kind::proxy_server, proxy, request->latest_server, sent_at))
+        request->in_flight = 0;
+    request->latest_server = server;
+    // An attempt delayed by an impaired link does not overlap either: its proxy may have ended it and sent
+    // the next one. A proxy closes the connection of the earlier attempt first, but that server may observe
+    // the end shortly after this attempt arrives here.
+    if (request->in_flight++ > 0 && !server_link_impaired) {
         overlaps_.push_back({op, attempt, server, clock_.now()});
         if (slack_ <= 0)
             finish();
     }
-    // What was stopped in its tracks by a fault sends late without a fault of its own.
-    const bool stood = grown_at(paused_, one->proxy) > 0 ||
-                       grown_at(paused_until_, one->proxy) + catch_up_time > sent ||
-                       link_impaired(link_kind::proxy_server, one->proxy, server, sent);
-    // What a link held before its proxy could read it is older than the proxy can know: its deadline is a
-    // span.
-    const bool lay = link_impaired(link_kind::client_proxy, 0, one->proxy, one->asked);
-    if (sent > one->end + slack_ && !stood && !lay && !one->excused && !one->untaken)
-        record_violation(rule::late, op, "sent to a server after its client's end");
-    const auto &known = grown_at(grown_at(announced_states_, one->proxy), server);
-    if (known.as != endpoint_state::ready && sent > known.when + experiment_.list.drain_grace + slack_ &&
-        !stood && !link_impaired(link_kind::proxy_list, one->proxy, 0, sent))
+    // A proxy that was paused or whose link was impaired may send late through no fault of its own.
+    const bool delayed_by_fault = element_at(active_pauses_, proxy) > 0 ||
+                                  element_at(paused_until_, proxy) + catch_up_time > sent_at ||
+                                  server_link_impaired;
+    // The deadline reaches the proxy as a duration, so it cannot know how long an impaired link held the
+    // request.
+    const bool request_delayed = link_impaired(link_kind::client_proxy, 0, proxy, request->sent_at);
+    if (sent_at > request->deadline + slack_ && !delayed_by_fault && !request_delayed &&
+        !request->proxy_killed && !request->not_accepted)
+        record_violation(rule::late, op, "sent to a server after its client's deadline");
+    const auto &notified = element_at(element_at(notified_states_, proxy), server);
+    if (notified.state != endpoint_state::ready &&
+        sent_at > notified.time + experiment_.list.drain_grace + slack_ && !delayed_by_fault &&
+        !link_impaired(link_kind::proxy_list, proxy, 0, sent_at))
         record_violation(rule::drain, op,
-                         "sent to server " + std::to_string(server) + " longer than the grace after its " +
-                             (known.as == endpoint_state::removed ? "end" : "drain") + " was told");
+                         "sent to server " + std::to_string(server) +
+                             " later than the grace after the notification of its " +
+                             (notified.state == endpoint_state::removed ? "removal" : "drain"));
 }
 
 void rule_checker::check_overlaps(double until) {
-    while (!overlaps_.empty() && overlaps_.front().when <= until) {
+    while (!overlaps_.empty() && overlaps_.front().time <= until) {
         const overlap first = overlaps_.front();
         overlaps_.pop_front();
-        record_violation(rule::two_out, first.op, "a second execution while one is out");
+        record_violation(rule::two_out, first.op, "a second attempt while one is in flight");
     }
 }
 
@@ -201,43 +220,46 @@
 }
 
 void rule_checker::attempt_ended(operation op, index attempt, index server) {
-    record *const of = find(op);
-    if (of == nullptr)
+    operation_record *const record = find(op);
+    if (record == nullptr)
         return;
     check_overlaps(clock_.now() - slack_);
     std::erase_if(overlaps_, [&](const overlap &each) {
         return each.op == op && each.attempt == attempt && each.server != server;
     });
-    if (open_attempt *const one = find(*of, attempt); one != nullptr && one->out > 0)
-        --one->out;
-    record_step(*of, op, step_kind::over, attempt, server);
+    if (client_attempt *const request = find(*record, attempt); request != nullptr && request->in_flight > 0)
+        --request->in_flight;
+    record_step(*record, op, step_kind::attempt_ended, attempt, server);
 }
 
 void rule_checker::effect_executed(operation op, index attempt, index server) {
     ++effects_;
-    record *const of = find(op);
-    if (of == nullptr)
+    operation_record *const record = find(op);
+    if (record == nullptr)
         return;
-    record_step(*of, op, step_kind::ran, attempt, server);
-    ++of->effects;
-    const auto &use = experiment_.use_cases[of->use_case].routing;
-    const auto now = std::find_if(of->runs.begin(), of->runs.end(), [&](const received_attempt &each) {
-        return each.attempt == attempt && each.server == server && !each.ran;
+    record_step(*record, op, step_kind::effect_executed, attempt, server);
+    ++record->effects;
+    auto &attempts = record->server_attempts;
+    const auto &routing = experiment_.use_cases[record->use_case].routing;
+    const auto current = std::find_if(attempts.begin(), attempts.end(), [&](const server_attempt &each) {
+        return each.attempt == attempt && each.server == server && !each.executed;
     });
-    if (now == of->runs.end())
+    if (current == attempts.end())
         return record_violation(rule::ran_twice, op, "ran more often than it was sent");
-    now->ran = true;
-    if (of->effects < 2 || use.effect == effect_kind::idempotent)
+    current->executed = true;
+    if (record->effects < 2 || routing.effect == effect_kind::idempotent)
         return;
-    if (use.effect == effect_kind::non_idempotent)
+    if (routing.effect == effect_kind::non_idempotent)
         return record_violation(rule::ran_twice, op, "a non-idempotent operation ran again");
-    for (const auto &each : of->runs)
-        if (each.ran && &each != &*now && !each.held && !now->held &&
-            (deduplication_group_of(experiment_, of->use_case, each.server) !=
-                 deduplication_group_of(experiment_, of->use_case, server) ||
-             std::abs(each.received - now->received) >= use.deduplication_window))
-            return record_violation(rule::ran_twice, op,
-                                    "a deduplicated operation was sent where, or when, no server knew of it");
+    for (const auto &other : attempts)
+        if (other.executed && &other != &*current && !other.link_was_impaired &&
+            !current->link_was_impaired &&
+            (deduplication_group_of(experiment_, record->use_case, other.server) !=
+                 deduplication_group_of(experiment_, record->use_case, server) ||
+             std::abs(other.received_at - current->received_at) >= routing.deduplication_window))
+            return record_violation(
+                rule::ran_twice, op,
+                "a deduplicated operation was sent outside its deduplication scope or window");
     ++late_effects_;
 }
 
@@ -245,96 +267,96 @@
     ++broken_[static_cast<std::size_t>(rule::cold)];
     std::ostringstream text;
     text << std::fixed << std::setprecision(3) << clock_.now() << " s: rule cold: server " << server
-         << " was cold and was sent more than it could bear\n";
+         << " was cold and received more load than its capacity\n";
     if (histories_.size() < max_histories)
         histories_.push_back(text.str());
 }
 
 void rule_checker::server_process_died(index server) {
-    for (auto &[op, of] : records_)
-        for (auto &one : of.tries)
-            if (one.out > 0 && one.out_at == server)
-                one.out = 0;
+    for (auto &[op, record] : records_)
+        for (auto &request : record.client_attempts)
+            if (request.in_flight > 0 && request.latest_server == server)
+                request.in_flight = 0;
 }
 
-void rule_checker::endpoint_state_notified(index proxy, index server, endpoint_state as) {
-    auto &known = grown_at(grown_at(announced_states_, proxy), server);
-    if (known.as == endpoint_state::ready || as == endpoint_state::ready) // the first word of an end counts
-        known = {as, clock_.now()};
-    known.as = as;
+void rule_checker::endpoint_state_notified(index proxy, index server, endpoint_state state) {
+    auto &notified = element_at(element_at(notified_states_, proxy), server);
+    // The drain grace counts from the first notification of a drain or removal.
+    if (notified.state == endpoint_state::ready || state == endpoint_state::ready)
+        notified = {state, clock_.now()};
+    notified.state = state;
 }
 
 void rule_checker::proxy_restarted(index proxy, bool killed) {
-    for (auto &each : grown_at(announced_states_, proxy)) // the next process has heard of nothing
-        each = {};
-    for (auto &[op, of] : records_)
-        for (auto &one : of.tries)
-            one.excused = one.excused || (killed && one.proxy == proxy);
+    for (auto &notified : element_at(notified_states_, proxy)) // the new process has had no notification yet
+        notified = {};
+    for (auto &[op, record] : records_)
+        for (auto &request : record.client_attempts)
+            request.proxy_killed = request.proxy_killed || (killed && request.proxy == proxy);
 }
 
 void rule_checker::proxy_paused(index proxy, bool begins) {
-    auto &held = grown_at(paused_, proxy);
-    if (begins && held == 0)
-        grown_at(paused_since_, proxy) = clock_.now();
-    held += begins ? 1 : held > 0 ? static_cast<index>(-1) : 0;
-    grown_at(paused_until_, proxy) = clock_.now();
+    auto &pauses = element_at(active_pauses_, proxy);
+    if (begins && pauses == 0)
+        element_at(paused_since_, proxy) = clock_.now();
+    pauses += begins ? 1 : pauses > 0 ? static_cast<index>(-1) : 0;
+    element_at(paused_until_, proxy) = clock_.now();
 }
 
 void rule_checker::link_fault_changed(link_kind kind, index near, index far, bool begins) {
-    auto &of = links_[{kind, near, far}];
-    if (begins && !of.now)
-        of.since = clock_.now();
-    of.now = begins;
-    of.until = clock_.now();
+    auto &link = links_[{kind, near, far}];
+    if (begins && !link.active)
+        link.since = clock_.now();
+    link.active = begins;
+    link.until = clock_.now();
     if (begins || kind != link_kind::proxy_list)
         return;
-    // What the list said meanwhile reaches its proxy now.
-    for (auto &known : grown_at(announced_states_, near))
-        if (known.as != endpoint_state::ready && known.when >= of.since)
-            known.when = clock_.now();
+    // Notifications that the list service sent during the impairment reach the proxy now.
+    for (auto &notified : element_at(notified_states_, near))
+        if (notified.state != endpoint_state::ready && notified.time >= link.since)
+            notified.time = clock_.now();
 }
 
-// Whether a link was in trouble at some time from `at` on, or just before.
-bool rule_checker::link_impaired(link_kind kind, index near, index far, double at) const {
+bool rule_checker::link_impaired(link_kind kind, index near, index far, double since) const {
     const auto found = links_.find({kind, near, far});
-    return found != links_.end() && (found->second.now || found->second.until + catch_up_time > at);
+    return found != links_.end() && (found->second.active || found->second.until + catch_up_time > since);
 }
 
-void rule_checker::record_violation(rule which, operation op, const std::string &why) {
-    ++broken_[static_cast<std::size_t>(which)];
+void rule_checker::record_violation(rule broken_rule, operation op, const std::string &reason) {
+    ++broken_[static_cast<std::size_t>(broken_rule)];
     if (histories_.size() >= max_histories)
         return;
     std::ostringstream text;
-    text << std::fixed << std::setprecision(3) << clock_.now() << " s: rule " << name_of(which) << ": " << why
-         << '\n'
-         << history(op);
+    text << std::fixed << std::setprecision(3) << clock_.now() << " s: rule " << name_of(broken_rule) << ": "
+         << reason << '\n'
+         << format_history(op);
     histories_.push_back(text.str());
 }
 
-std::string rule_checker::history(operation op) const {
+std::string rule_checker::format_history(operation op) const {
     std::ostringstream text;
     text << std::fixed << std::setprecision(4);
     const auto found = records_.find(op);
     if (found == records_.end())
-        return "  operation " + std::to_string(op) + ": nothing is known of it any more\n";
-    text << "  operation " << op << ", use case " << experiment_.use_cases[found->second.use_case].name
-         << '\n';
-    auto steps = found->second.steps;
+        return "  operation " + std::to_string(op) + ": its record is no longer kept\n";
+    const operation_record &record = found->second;
+    text << "  operation " << op << ", use case " << experiment_.use_cases[record.use_case].name << '\n';
+    auto steps = record.steps;
     std::stable_sort(steps.begin(), steps.end(),
-                     [](const step &one, const step &two) { return one.when < two.when; });
-    for (const auto &each : steps)
-        text << "  " << std::setw(10) << each.when << "  try " << each.attempt << "  "
-             << step_names[static_cast<std::size_t>(each.is)] << ' ' << each.who << '\n';
-    for (const auto &each : found->second.tries)
-        text << "  try " << each.attempt << " ends at " << each.end << '\n';
+                     [](const step &left, const step &right) { return left.time < right.time; });
+    for (const auto &event : steps)
+        text << "  " << std::setw(10) << event.time << "  attempt " << event.attempt << "  "
+             << step_names[static_cast<std::size_t>(event.kind)] << ' ' << event.peer << '\n';
+    for (const auto &request : record.client_attempts)
+        text << "  attempt " << request.attempt << " deadline " << request.deadline << '\n';
     return text.str();
 }
 
-// Guards the memory of long runs.
+// Bounds the memory of long runs.
 void rule_checker::drop_old_records() {
-    while (!settled_.empty() && settled_.front().first + record_lifetime < clock_.now()) {
-        records_.erase(settled_.front().second);
-        settled_.pop_front();
+    while (!finished_.empty() && finished_.front().first + record_lifetime < clock_.now()) {
+        records_.erase(finished_.front().second);
+        finished_.pop_front();
     }
 }
 
--- a/tests/testbed/testbed_test.cpp
+++ b/tests/testbed/testbed_test.cpp
@@ -223,7 +223,7 @@
             const bool told =
                 std::any_of(run.histories.begin(), run.histories.end(), [&](const std::string &story) {
                     return story.find(std::string("rule ") + name_of(which)) != std::string::npos &&
-                           story.find("asked of proxy") != std::string::npos;
+                           story.find("sent to proxy") != std::string::npos;
                 });
             CHECK(told);
         }
