--- a/src/testbed/processes/fleet_workers.cpp
+++ b/src/testbed/processes/fleet_workers.cpp
@@ -142,7 +142,7 @@
     case worker_message::kind::connection:
         return on_connection(what.a, what.flag != 0);
     case worker_message::kind::event:
-        if (what.event.is == observed_event::kind::server_overloaded) {
+        if (what.event.type == observed_event::kind::server_overloaded) {
             environment_.servers.at(what.event.a).fall();
             on_server_changed(what.event.a);
         }
@@ -205,8 +205,8 @@
     worker.kill();
     // Later than all that it had written, and earlier than what anybody does for its death.
     observed_event died;
-    died.is = observed_event::kind::server_process_died;
-    died.when = std::max(before, worker.last()) + just_after;
+    died.type = observed_event::kind::server_process_died;
+    died.observed_at = std::max(before, worker.last()) + just_after;
     for (index i = 0; i < environment_.servers.size(); ++i)
         if (host_of(environment_.settings, i) == host) {
             died.a = i;
--- a/src/testbed/processes/worker_process.cpp
+++ b/src/testbed/processes/worker_process.cpp
@@ -120,7 +120,7 @@
 
 void worker_process::handle_message(const worker_message &what) {
     if (what.is == worker_message::kind::event) {
-        last_ = std::max(last_, what.event.when);
+        last_ = std::max(last_, what.event.observed_at);
         events_.add(source_, what.event);
     }
     if (what.is == worker_message::kind::heartbeat)
--- a/src/testbed/verification/event_merge.hpp
+++ b/src/testbed/verification/event_merge.hpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
-// Merges the events that several processes observe into one order before the rule checker gets them. Each
-// event has the time at which its process observed it, by the machine's monotonic clock; it is delivered once
-// every source has advanced beyond that time or is closed, so that one that arrives late still takes its
-// place. A source that does not advance delays delivery, not the run.
+// Merges the events of several processes into one sequence ordered by time and delivers it to the rule
+// checker. Each event carries the time at which its process observed it, by the machine's monotonic clock. It
+// is delivered once every source has advanced beyond that time or is closed, so that an event that arrives
+// late is still delivered in order. A source that does not advance delays delivery, not the run.
 #pragma once
 
 #include "testbed/model/observer.hpp"
@@ -14,8 +14,9 @@
 
 namespace harrierpass::testbed {
 
-// One event as it is sent between processes: of a fixed size, so that the last one of a killed process is
-// whole or absent. Each kind carries the arguments of the observer's function of its name.
+// An event in the form in which it is sent between processes. Its size is fixed, so that the last event of a
+// killed process is either complete or absent. Each kind carries the arguments of the observer's function of
+// its name.
 struct observed_event {
     enum class kind : std::uint8_t {
         request_sent,
@@ -34,67 +35,69 @@
         proxy_paused,
         link_fault_changed
     };
-    kind is = kind::request_sent;
-    std::uint8_t small = 0, flag = 0;
+    kind type = kind::request_sent;
+    std::uint8_t enumerator = 0, flag = 0; // enumerator: a reply, endpoint_state or link_kind
     index a = 0, b = 0, c = 0;
     operation op = 0;
-    double x = 0;    // s: a deadline, or when it was sent
-    double when = 0; // s, when it was observed
+    double time_argument = 0; // seconds: a deadline, or when an attempt was sent
+    double observed_at = 0;   // seconds
 };
 
 // Calls the observer's function for an event.
-void replay_event(const observed_event &event, observer &to);
+void replay_event(const observed_event &event, observer &target);
 
-// Turns what a process observes into events and passes each on at once.
+// Converts the observer calls in a process into events and forwards each immediately.
 class event_recorder : public observer {
 public:
-    // `now`: the machine's time at the moment of the call. The loop's clock stands still while it handles
-    // what has arrived, and would put a response to another process's message before that message.
-    event_recorder(std::function<double()> now, std::function<void(const observed_event &)> to)
-        : now_(std::move(now)), to_(std::move(to)) {}
-    void request_sent(operation op, index attempt, index proxy, index use_case, double end) override;
-    void response_received(operation op, index attempt, reply how, bool body_fits) override;
+    // `now` returns the machine's time at the moment of the call. The event loop's clock does not advance
+    // while the loop handles its events, and would place a response to another process's message before the
+    // message.
+    event_recorder(std::function<double()> now, std::function<void(const observed_event &)> forward)
+        : now_(std::move(now)), forward_(std::move(forward)) {}
+    void request_sent(operation op, index attempt, index proxy, index use_case, double deadline) override;
+    void response_received(operation op, index attempt, reply response, bool body_matches) override;
     void response_missing(operation op, index attempt) override;
     void operation_finished(operation op) override;
     void request_not_accepted(operation op, index attempt) override;
     void foreign_request_seen(operation op, index attempt, index use_case) override;
-    void attempt_received(operation op, index attempt, index server, double sent) override;
+    void attempt_received(operation op, index attempt, index server, double sent_at) override;
     void attempt_ended(operation op, index attempt, index server) override;
     void effect_executed(operation op, index attempt, index server) override;
     void server_overloaded(index server) override;
     void server_process_died(index server) override;
-    void endpoint_state_notified(index proxy, index server, endpoint_state as) override;
+    void endpoint_state_notified(index proxy, index server, endpoint_state state) override;
     void proxy_restarted(index proxy, bool killed) override;
     void proxy_paused(index proxy, bool begins) override;
     void link_fault_changed(link_kind kind, index near, index far, bool begins) override;
 
 private:
-    void note(observed_event what);
+    void record(observed_event event);
     std::function<double()> now_;
-    std::function<void(const observed_event &)> to_;
+    std::function<void(const observed_event &)> forward_;
 };
 
-// Used from one thread; `clock` and `checker` outlive it.
+// Used from one thread. `clock` and `checker` must outlive it.
 class event_merge {
 public:
-    // `clock` is the rule checker's own, and is moved to the time of each event.
+    // `clock` is the rule checker's clock; it is advanced to the time of each delivered event.
     event_merge(timeline &clock, observer &checker) : clock_(clock), checker_(checker) {}
 
     std::size_t add_source();
-    void add(std::size_t source, const observed_event &event); // advances the source to its time
-    void advance_source(std::size_t source, double when);      // it has observed nothing else up to `when`
-    void close_source(std::size_t source);                     // it sends nothing more
-    void reopen_source(std::size_t source, double when);       // it sends events again, from `when` on
-    void deliver_ready();                                      // all whose place in the order is known
+    void add(std::size_t source, const observed_event &event); // also advances the source to the event's time
+    void advance_source(std::size_t source, double time); // the source has no further events up to `time`
+    void close_source(std::size_t source);                // the source sends no more events
+    void reopen_source(std::size_t source, double time);  // the source sends events again, from `time` on
+    void deliver_ready();                                 // delivers all events that no other can precede
     std::size_t waiting() const { return events_.size(); }
 
 private:
     timeline &clock_;
     observer &checker_;
-    std::vector<double> source_times_; // by source: up to when it is known, s
-    // By time, then source, then arrival: the order of equal times does not depend on how they got here.
+    std::vector<double> source_times_; // by source: the time in seconds to which it has advanced
+    // Ordered by time, then source, then arrival, so that the order of events of equal time does not depend
+    // on the order in which the sources' messages arrive.
     std::map<std::tuple<double, std::size_t, std::uint64_t>, observed_event> events_;
-    std::uint64_t order_ = 0;
+    std::uint64_t next_arrival_ = 0;
 };
 
 } // namespace harrierpass::testbed
