--- a/src/testbed/runs/run_environment.cpp
+++ b/src/testbed/runs/run_environment.cpp
@@ -266,7 +266,7 @@
         made.use_cases.emplace_back(settings.use_cases[i].name, share(load_clients.use_cases()[i]));
     for (std::size_t i = 0; i < settings.tenants.size(); ++i)
         made.tenants.emplace_back(settings.tenants[i].name, share(load_clients.tenants()[i]));
-    made.fleet = metrics.all(made.queries);
+    made.fleet = metrics.values(made.queries);
     made.series = metrics.series();
     made.slot_length = load_clients.slot_length();
     for (std::size_t i = 0; i < load_clients.slots().size(); ++i) {
--- a/src/testbed/verification/fleet_metrics.cpp
+++ b/src/testbed/verification/fleet_metrics.cpp
@@ -7,7 +7,8 @@
 namespace harrierpass::testbed {
 namespace {
 
-constexpr std::size_t first_seconds = 5; // of a run, told apart from the rest: a start's, a restart's
+// Reported apart from the rest of the run, to show the effects of a start or restart.
+constexpr std::size_t startup_seconds = 5;
 
 } // namespace
 
@@ -21,171 +22,174 @@
     return largest;
 }
 
-fleet_metrics::fleet_metrics(const timeline &clock, const experiment &given, index servers)
-    : clock_(clock), experiment_(given), began_(clock.now()), dials_(servers + 1), executions_(servers + 1),
-      open_(servers + 1), zones_(given.fleet.zones.size()) {
-    std::vector<bool> faulted(given.proxies.count);
-    const auto name = [&](const std::vector<index> &proxies) {
-        for (const index each : proxies)
-            faulted[each] = true;
+fleet_metrics::fleet_metrics(const timeline &clock, const experiment &settings, index servers)
+    : clock_(clock), experiment_(settings), start_time_(clock.now()), connect_times_(servers + 1),
+      attempts_(servers + 1), open_connections_(servers + 1), zones_(settings.fleet.zones.size()) {
+    std::vector<bool> faulted(settings.proxies.count);
+    const auto mark_faulted = [&](const std::vector<index> &proxies) {
+        for (const index proxy : proxies)
+            faulted[proxy] = true;
     };
-    for (const auto &each : given.faults)
-        name(each.proxies);
-    for (const auto &each : given.link_faults)
-        if (each.kind == link_fault_kind::partition)
-            name(each.proxies);
+    for (const auto &fault : settings.faults)
+        mark_faulted(fault.proxies);
+    for (const auto &fault : settings.link_faults)
+        if (fault.kind == link_fault_kind::partition)
+            mark_faulted(fault.proxies);
     const auto count = std::count(faulted.begin(), faulted.end(), true);
     if (count > 0 && count < static_cast<std::ptrdiff_t>(faulted.size()))
         faulted_ = std::move(faulted);
 }
 
-// What the proxies did before the load is start-up: calls and connections of it count as of second 0.
+// Polls and connections before the load belong to the proxies' start-up and count in second 0.
 void fleet_metrics::on_load_started() {
-    began_ = clock_.now();
+    start_time_ = clock_.now();
 }
 
-std::size_t fleet_metrics::second() const {
-    return static_cast<std::size_t>(std::max(0.0, clock_.now() - began_));
+std::size_t fleet_metrics::current_second() const {
+    return static_cast<std::size_t>(std::max(0.0, clock_.now() - start_time_));
 }
 
-void fleet_metrics::on_connect(index server, bool there) {
-    dials_.at(server).push_back(clock_.now());
-    dead_dials_ += !there;
+void fleet_metrics::on_connect(index server, bool process_running) {
+    connect_times_.at(server).push_back(clock_.now());
+    dead_connects_ += !process_running;
 }
 
 void fleet_metrics::on_connection_opened(index server) {
-    max_open_ = std::max(max_open_, ++open_.at(server));
+    max_open_connections_ = std::max(max_open_connections_, ++open_connections_.at(server));
 }
 
 void fleet_metrics::on_connection_closed(index server) {
-    if (open_.at(server) > 0)
-        --open_[server];
+    if (open_connections_.at(server) > 0)
+        --open_connections_[server];
 }
 
 void fleet_metrics::on_attempt(index server) {
-    auto &of = executions_.at(server);
-    of.resize(std::max(of.size(), second() + 1));
-    ++of[second()];
+    auto &by_second = attempts_.at(server);
+    by_second.resize(std::max(by_second.size(), current_second() + 1));
+    ++by_second[current_second()];
 }
 
-void fleet_metrics::on_sent_to_dead(bool probe) {
-    ++(probe ? dead_probes_ : dead_sends_);
+void fleet_metrics::on_sent_to_dead(bool health_check) {
+    ++(health_check ? dead_health_checks_ : dead_attempts_);
 }
 
-void fleet_metrics::on_poll(list_poll as, std::size_t bytes) {
-    ++(as == list_poll::snapshot ? snapshots_ : as == list_poll::watch ? watches_ : rejected_polls_);
+void fleet_metrics::on_poll(list_poll response, std::size_t bytes) {
+    ++(response == list_poll::snapshot ? snapshots_
+       : response == list_poll::watch  ? watches_
+                                       : rejected_polls_);
     list_bytes_ += bytes;
     poll_times_.push_back(clock_.now());
 }
 
-void fleet_metrics::add(by_second &to, double worth, double asked) const {
-    to.resize(std::max(to.size(), second() + 1));
-    to[second()].first += worth;
-    to[second()].second += asked;
+void fleet_metrics::add(weights_by_second &weights, double served, double requested) const {
+    weights.resize(std::max(weights.size(), current_second() + 1));
+    weights[current_second()].served += served;
+    weights[current_second()].requested += requested;
 }
 
-double fleet_metrics::share(const by_second &of) {
-    double worth = 0, asked = 0;
-    for (const auto &[served, wanted] : of) {
-        worth += served;
-        asked += wanted;
+double fleet_metrics::served_share(const weights_by_second &weights) {
+    double served = 0, requested = 0;
+    for (const auto &second : weights) {
+        served += second.served;
+        requested += second.requested;
     }
-    return asked > 0 ? worth / asked : 1;
+    return requested > 0 ? served / requested : 1;
 }
 
-void fleet_metrics::on_request_settled(index proxy, double worth, double asked) {
-    add(zones_.at(zone_of_proxy(experiment_, proxy)), worth, asked);
+void fleet_metrics::on_request_settled(index proxy, double served, double requested) {
+    add(zones_.at(zone_of_proxy(experiment_, proxy)), served, requested);
     if (!faulted_.empty())
-        add(faulted_[proxy] ? faulted_served_ : other_served_, worth, asked);
+        add(faulted_[proxy] ? faulted_weights_ : other_weights_, served, requested);
 }
 
-std::vector<std::pair<std::string, double>> fleet_metrics::all(std::uint64_t queries) const {
-    const auto count = static_cast<double>(std::max<std::uint64_t>(1, queries));
-    double dials = 0, largest = 0;
-    for (const auto &each : dials_) {
-        dials += static_cast<double>(each.size());
-        largest = std::max(largest, static_cast<double>(max_within(each, 1)));
+std::vector<std::pair<std::string, double>> fleet_metrics::values(std::uint64_t requests) const {
+    const auto request_count = static_cast<double>(std::max<std::uint64_t>(1, requests));
+    double connects = 0, max_connects = 0;
+    for (const auto &times : connect_times_) {
+        connects += static_cast<double>(times.size());
+        max_connects = std::max(max_connects, static_cast<double>(max_within(times, 1)));
     }
-    // In each second the busiest server against the mean of all that got any in the run.
-    std::vector<double> over;
+    // For each second, attempts at the busiest server relative to the mean of all servers that received any
+    // attempt in the run.
+    std::vector<double> peak_to_mean;
     const auto seconds = static_cast<std::size_t>(experiment_.length);
     for (std::size_t i = 0; i < seconds; ++i) {
         double sum = 0, busiest = 0, servers = 0;
-        for (const auto &each : executions_) {
-            if (each.empty())
+        for (const auto &by_second : attempts_) {
+            if (by_second.empty())
                 continue;
-            const double one = i < each.size() ? each[i] : 0;
-            sum += one;
-            busiest = std::max(busiest, one);
+            const double attempts = i < by_second.size() ? by_second[i] : 0;
+            sum += attempts;
+            busiest = std::max(busiest, attempts);
             ++servers;
         }
         if (sum > 0)
-            over.push_back(busiest * servers / sum);
+            peak_to_mean.push_back(busiest * servers / sum);
     }
-    std::sort(over.begin(), over.end());
+    std::sort(peak_to_mean.begin(), peak_to_mean.end());
     double worst_zone = 1;
-    double early = 0, early_asked = 0, later = 0, later_asked = 0;
+    double startup_served = 0, startup_requested = 0, later_served = 0, later_requested = 0;
     for (const auto &zone : zones_) {
         for (std::size_t i = 0; i < zone.size(); ++i) {
-            (i < first_seconds ? early : later) += zone[i].first;
-            (i < first_seconds ? early_asked : later_asked) += zone[i].second;
+            (i < startup_seconds ? startup_served : later_served) += zone[i].served;
+            (i < startup_seconds ? startup_requested : later_requested) += zone[i].requested;
         }
-        worst_zone = std::min(worst_zone, share(zone));
+        worst_zone = std::min(worst_zone, served_share(zone));
     }
-    std::vector<std::pair<std::string, double>> made = {
-        {"dials_a_query", dials / count},
-        {"dials_most_1s", largest},
-        {"open_most", static_cast<double>(max_open_)},
+    std::vector<std::pair<std::string, double>> values = {
+        {"dials_a_query", connects / request_count},
+        {"dials_most_1s", max_connects},
+        {"open_most", static_cast<double>(max_open_connections_)},
         {"list_whole", static_cast<double>(snapshots_)},
         {"list_watch", static_cast<double>(watches_)},
         {"list_refused", static_cast<double>(rejected_polls_)},
         {"list_kb", static_cast<double>(list_bytes_) / 1024},
         {"list_most_100ms", static_cast<double>(max_within(poll_times_, 0.1))},
-        {"dead_dials", static_cast<double>(dead_dials_)},
-        {"dead_sends", static_cast<double>(dead_sends_)},
-        {"dead_probes", static_cast<double>(dead_probes_)},
-        {"over_mean_p50", over.empty() ? 0 : over[over.size() / 2]},
-        {"over_mean_most", over.empty() ? 0 : over.back()},
+        {"dead_dials", static_cast<double>(dead_connects_)},
+        {"dead_sends", static_cast<double>(dead_attempts_)},
+        {"dead_probes", static_cast<double>(dead_health_checks_)},
+        {"over_mean_p50", peak_to_mean.empty() ? 0 : peak_to_mean[peak_to_mean.size() / 2]},
+        {"over_mean_most", peak_to_mean.empty() ? 0 : peak_to_mean.back()},
         {"worst_zone", worst_zone},
-        {"first_5s", early_asked > 0 ? early / early_asked : 1},
-        {"after_5s", later_asked > 0 ? later / later_asked : 1}};
+        {"first_5s", startup_requested > 0 ? startup_served / startup_requested : 1},
+        {"after_5s", later_requested > 0 ? later_served / later_requested : 1}};
     if (!faulted_.empty()) {
-        made.emplace_back("struck", share(faulted_served_));
-        made.emplace_back("not_struck", share(other_served_));
+        values.emplace_back("struck", served_share(faulted_weights_));
+        values.emplace_back("not_struck", served_share(other_weights_));
     }
-    return made;
+    return values;
 }
 
 std::vector<std::pair<std::string, std::vector<double>>> fleet_metrics::series() const {
     const auto seconds = static_cast<std::size_t>(std::ceil(experiment_.length));
-    std::vector<std::pair<std::string, std::vector<double>>> made;
-    const auto line = [&](const std::string &name, const by_second &of) {
-        std::vector<double> values(seconds, std::nan(""));
-        for (std::size_t i = 0; i < std::min(seconds, of.size()); ++i)
-            if (of[i].second > 0)
-                values[i] = of[i].first / of[i].second;
-        made.emplace_back(name, std::move(values));
+    std::vector<std::pair<std::string, std::vector<double>>> all_series;
+    const auto add_served_share = [&](const std::string &name, const weights_by_second &weights) {
+        std::vector<double> shares(seconds, std::nan(""));
+        for (std::size_t i = 0; i < std::min(seconds, weights.size()); ++i)
+            if (weights[i].requested > 0)
+                shares[i] = weights[i].served / weights[i].requested;
+        all_series.emplace_back(name, std::move(shares));
     };
     for (std::size_t zone = 0; zone < zones_.size(); ++zone)
-        line("zone " + experiment_.fleet.zones[zone], zones_[zone]);
+        add_served_share("zone " + experiment_.fleet.zones[zone], zones_[zone]);
     if (!faulted_.empty()) {
-        line("group struck", faulted_served_);
-        line("group not struck", other_served_);
+        add_served_share("group struck", faulted_weights_);
+        add_served_share("group not struck", other_weights_);
     }
-    std::vector<double> dials(seconds), calls(seconds);
-    const auto add = [&](std::vector<double> &to, double when) {
-        const double at = when - began_;
-        if (at >= 0 && at < static_cast<double>(seconds))
-            ++to[static_cast<std::size_t>(at)];
+    std::vector<double> connects(seconds), polls(seconds);
+    const auto count_at = [&](std::vector<double> &counts, double time) {
+        const double second = time - start_time_;
+        if (second >= 0 && second < static_cast<double>(seconds))
+            ++counts[static_cast<std::size_t>(second)];
     };
-    for (const auto &server : dials_)
-        for (const double when : server)
-            add(dials, when);
-    for (const double when : poll_times_)
-        add(calls, when);
-    made.emplace_back("connections", std::move(dials));
-    made.emplace_back("list calls", std::move(calls));
-    return made;
+    for (const auto &times : connect_times_)
+        for (const double time : times)
+            count_at(connects, time);
+    for (const double time : poll_times_)
+        count_at(polls, time);
+    all_series.emplace_back("connections", std::move(connects));
+    all_series.emplace_back("list calls", std::move(polls));
+    return all_series;
 }
 
 } // namespace harrierpass::testbed
