--- a/src/testbed/program/run_command.cpp
+++ b/src/testbed/program/run_command.cpp
@@ -30,7 +30,7 @@
             if (only.empty() || std::find(only.begin(), only.end(), variant.name) != only.end())
                 tasks.push_back({&variant, seed});
     if (tasks.empty())
-        throw experiment_error(settings.name + ": has no variant of that name");
+        throw experiment_error(settings.name + ": no variant matches --only");
     return tasks;
 }
 
@@ -50,37 +50,39 @@
     const std::vector<run_task> tasks = tasks_of(command, settings);
     std::vector<run_result> runs(tasks.size());
     std::atomic<std::size_t> next = 0;
-    std::mutex lock;
+    std::mutex output_mutex;
     std::ofstream trace;
     if (!command.trace.empty())
         trace.open(command.trace);
-    const auto work = [&] {
+    const auto run_remaining = [&] {
         for (std::size_t i; (i = next++) < tasks.size();) {
             runs[i] = run_one(command, settings, tasks[i], trace.is_open() && i == 0 ? &trace : nullptr);
-            const std::lock_guard hold(lock);
+            const std::lock_guard guard(output_mutex);
             print(std::cout, runs[i], true);
         }
     };
     std::vector<std::thread> threads;
     for (unsigned i = 1; command.is_virtual && i < command.jobs; ++i)
-        threads.emplace_back(work);
-    work();
-    for (auto &each : threads)
-        each.join();
+        threads.emplace_back(run_remaining);
+    run_remaining();
+    for (auto &thread : threads)
+        thread.join();
     if (results != nullptr)
         for (const auto &run : runs)
             *results << to_json(run, settings) << '\n';
     return runs;
 }
 
-void add_results(const std::string &file, bool names_commits, std::vector<run_result> &all) {
-    for (auto &each : read_results(file)) {
-        each.run.variant += names_commits ? " @" + each.commit : "";
-        all.push_back(std::move(each.run));
+// Adds the runs of a result file. `with_commits`: appends the program's commit to the variant's name.
+void add_results(const std::string &file, bool with_commits, std::vector<run_result> &runs) {
+    for (auto &stored : read_results(file)) {
+        stored.run.variant += with_commits ? " @" + stored.commit : "";
+        runs.push_back(std::move(stored.run));
     }
 }
 
-experiment read_for(const run_command &command, const std::string &file) {
+// Reads an experiment and applies the command's options to it.
+experiment read_experiment_for(const run_command &command, const std::string &file) {
     experiment settings = read_experiment(file, command.large);
     settings.proxies.shared_list = settings.proxies.shared_list && !command.agent_lists;
     for (auto &variant : settings.variants)
@@ -93,10 +95,10 @@
 
 } // namespace
 
-exit_code exit_code_of(const std::vector<run_result> &runs, bool of_first_variant) {
+exit_code exit_code_of(const std::vector<run_result> &runs, bool first_variant_only) {
     exit_code code = success;
     for (const auto &run : runs)
-        if (of_first_variant && run.variant != runs[0].variant)
+        if (first_variant_only && run.variant != runs[0].variant)
             continue;
         else if (run.broken() > 0)
             code = rule_broken;
@@ -106,7 +108,7 @@
 }
 
 void write_plot(const std::string &path, const std::vector<run_result> &runs,
-                const std::vector<shade> &faults) {
+                const std::vector<fault_interval> &faults) {
     std::ofstream file(path);
     file << plot_svg(runs, faults);
     if (!file.flush())
@@ -115,29 +117,29 @@
 }
 
 exit_code run_experiments(const run_command &command, bool compares) {
-    std::vector<run_result> all;
+    std::vector<run_result> all_runs;
     std::ofstream results;
     if (!command.results.empty()) {
         results.open(command.results, std::ios::app);
         if (!results)
             throw experiment_error(command.results + ": cannot be written");
     }
-    const bool several = command.files.size() > 1;
+    const bool several_files = command.files.size() > 1;
     for (const auto &file : command.files) {
         if (compares && file.ends_with(".jsonl")) {
-            add_results(file, several, all);
+            add_results(file, several_files, all_runs);
             continue;
         }
-        const experiment settings = read_for(command, file);
+        const experiment settings = read_experiment_for(command, file);
         const auto runs = run_all(command, settings, results.is_open() ? &results : nullptr);
-        all.insert(all.end(), runs.begin(), runs.end());
+        all_runs.insert(all_runs.end(), runs.begin(), runs.end());
         if (!command.plot.empty())
-            write_plot(several ? command.plot + "/" + settings.name + ".svg" : command.plot, runs,
-                       shades_of(settings));
+            write_plot(several_files ? command.plot + "/" + settings.name + ".svg" : command.plot, runs,
+                       fault_intervals(settings));
     }
-    if (compares || all.size() > 1)
-        print(std::cout, compare(all));
-    return exit_code_of(all, compares);
+    if (compares || all_runs.size() > 1)
+        print(std::cout, compare(all_runs));
+    return exit_code_of(all_runs, compares);
 }
 
 } // namespace harrierpass::testbed
--- a/src/testbed/program/run_command.hpp
+++ b/src/testbed/program/run_command.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// The commands `run` and `compare`: runs of experiments, their results, plots and exit code.
+// Implements the commands `run` and `compare`: runs experiments and writes their results and plots.
 #pragma once
 
 #include "testbed/program/exit_code.hpp"
@@ -12,26 +12,26 @@
 
 namespace harrierpass::testbed {
 
-// What the command line says of `run` and `compare`.
+// The command-line options of `run` and `compare`.
 struct run_command {
-    std::vector<std::string> files; // experiments; for `compare` results (.jsonl), too
+    std::vector<std::string> files; // experiments; for `compare` also result files (.jsonl)
     std::vector<std::uint32_t> seeds;
-    std::vector<std::string> only; // names of variants; empty: all
+    std::vector<std::string> only; // variants to run, by name; empty: all
     std::string results, plot, trace, policy;
     socket_options sockets;
-    unsigned jobs = 1; // runs at a time, in virtual time
+    unsigned jobs = 1; // concurrent runs, in virtual time only
     bool is_virtual = false, quiet = false, large = false, agent_lists = false;
 };
 
-// Runs the experiments, or compares their variants and what result files hold.
+// Runs the experiments. With `compares`, compares their variants and includes the runs of result files.
 exit_code run_experiments(const run_command &command, bool compares);
 
-// The exit code of finished runs. Where variants are compared, only the first one counts: a baseline may
-// break rules.
-exit_code exit_code_of(const std::vector<run_result> &runs, bool of_first_variant);
+// Returns the exit code for finished runs. With `first_variant_only`, runs of other variants are ignored: in
+// a comparison a baseline may break rules.
+exit_code exit_code_of(const std::vector<run_result> &runs, bool first_variant_only);
 
 // Draws the runs as SVG into the file and prints its path.
 void write_plot(const std::string &path, const std::vector<run_result> &runs,
-                const std::vector<shade> &faults);
+                const std::vector<fault_interval> &faults);
 
 } // namespace harrierpass::testbed
--- a/src/testbed/verification/plot.hpp
+++ b/src/testbed/verification/plot.hpp
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
-// Runs as one SVG picture: service, time of an answer, origin fetches over time, a line for each variant;
-// the whole fleet's service by zone, new connections and list calls, and what each server has in hand, a row
-// each, for the first one.
+// Draws runs as one SVG image. For each variant a line shows service, response time and origin fetches over
+// time. For the first variant it also shows the fleet's service by zone, new connections and endpoint list
+// polls, and a heat map of the attempts in flight with one row per server.
 #pragma once
 
 #include "testbed/verification/result.hpp"
 
 namespace harrierpass::testbed {
 
-// Runs of one experiment; of several seeds of a variant the mean is drawn. `faults` are shaded.
-std::string plot_svg(const std::vector<run_result> &runs, const std::vector<shade> &faults);
+// Draws the runs of one experiment, for each variant the mean of its seeds. `faults` are shaded.
+std::string plot_svg(const std::vector<run_result> &runs, const std::vector<fault_interval> &faults);
 
 } // namespace harrierpass::testbed
--- a/src/testbed/verification/report.hpp
+++ b/src/testbed/verification/report.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// Results as JSON lines with seed, commit and a hash of the experiment; as text; and compared in pairs, with
-// real differences told from noise.
+// Writes results as JSON lines with seed, commit and a hash of the experiment, and as text. Compares variants
+// in pairs of runs and distinguishes significant differences from noise.
 #pragma once
 
 #include "testbed/verification/result.hpp"
@@ -13,34 +13,34 @@
 // A result as read from a file.
 struct stored_result {
     run_result run;
-    std::string commit, hash; // of the program; of the experiment's text
+    std::string commit, hash; // commit of the program, hash of the experiment's text
 };
 
-std::string commit();                                             // of this build
-std::string to_json(const run_result &run, const experiment &of); // one line, without its end
-// Reads a file of JSON lines. Throws bad_experiment with file and line.
+std::string commit();                                                   // the commit of this build
+std::string to_json(const run_result &run, const experiment &settings); // one line without a newline
+// Reads a file of JSON lines. Throws experiment_error with file and line.
 std::vector<stored_result> read_results(const std::string &path);
 
-// `histories`: with those of broken rules.
-void print(std::ostream &to, const run_result &run, bool histories);
+// `with_details`: also prints the fleet metrics and the histories of violations.
+void print(std::ostream &output, const run_result &run, bool with_details);
 
-// Metrics of the whole fleet as a table in Markdown: medians over the seeds (rules broken: their sum), one
-// column for each experiment.
+// Returns the fleet metrics as a Markdown table with one column per experiment: medians over the seeds; for
+// violations, the sum.
 std::string fleet_table(const std::vector<run_result> &runs);
 
-// One variant compared with another, on the seeds that both have.
+// One variant compared with another, on the seeds that both ran.
 struct comparison {
     std::string experiment, base, other;
     std::size_t pairs = 0;
-    std::uint64_t base_broken = 0, other_broken = 0; // rules, over the pairs
+    std::uint64_t base_broken = 0, other_broken = 0; // violations over the pairs
     double base_median = 0, other_median = 0;        // of service
-    double base_spread = 0, other_spread = 0;        // largest less smallest
-    double difference = 0, noise = 0;                // mean of the pairs'; half of its 95% interval
-    // Whether the difference is larger than the noise.
+    double base_spread = 0, other_spread = 0;        // maximum minus minimum
+    double difference = 0, noise = 0; // mean over the pairs; half of its 95% confidence interval
+    // Whether the difference is significant.
     bool differs() const { return pairs >= 2 && std::fabs(difference) > noise; }
 };
-// Compares each variant with the first one of its experiment.
+// Compares each variant with the first variant of its experiment.
 std::vector<comparison> compare(const std::vector<run_result> &runs);
-void print(std::ostream &to, const std::vector<comparison> &all);
+void print(std::ostream &output, const std::vector<comparison> &comparisons);
 
 } // namespace harrierpass::testbed
--- a/tests/testbed/testbed_test.cpp
+++ b/tests/testbed/testbed_test.cpp
@@ -330,7 +330,7 @@
     }
     CHECK(said.starts_with(path + ":3: no result"));
     std::filesystem::remove(path);
-    const std::string svg = plot_svg({run}, shades_of(given));
+    const std::string svg = plot_svg({run}, fault_intervals(given));
     CHECK(svg.starts_with("<svg "));
     CHECK(svg.find("nan") == std::string::npos);
 }
