--- a/src/testbed/program/exit_code.hpp
+++ b/src/testbed/program/exit_code.hpp
@@ -7,8 +7,8 @@
 enum exit_code {
     success = 0,
     rule_broken = 1,
-    unusable = 2,     // the command line or an experiment cannot be used; nothing was run
-    host_too_slow = 3 // the run does not count
+    invalid_input = 2, // the command line or an experiment is invalid; nothing was run
+    host_too_slow = 3  // the run does not count
 };
 
 } // namespace harrierpass::testbed
--- a/src/testbed/program/fleet_shell.hpp
+++ b/src/testbed/program/fleet_shell.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// A fleet on sockets for people and other programs: servers and discovery at known ports, faults by script or
-// typed in.
+// Runs the servers and discovery of a fleet at known ports, for interactive use and other programs. Faults
+// come from the experiment or from commands on standard input.
 #pragma once
 
 #include "testbed/processes/fleet_ports.hpp"
@@ -10,13 +10,15 @@
 namespace harrierpass::testbed {
 
 struct shell_options {
-    fleet_listen_ports where;
-    std::string listen, configuration; // of a proxy; where its configuration is written, if anywhere
-    bool scripted = false;             // the experiment's faults are played
-    bool chatty = false;               // a line for each execution that a server gets
+    fleet_listen_ports ports;
+    std::string proxy_address;      // the listen address in the proxy configuration
+    std::string configuration_path; // where to write a proxy configuration; empty: none is written
+    bool plays_faults = false;      // whether the experiment's faults take place
+    bool prints_events = false;     // whether each event of the servers is printed
 };
 
-// Until SIGTERM, SIGINT or "quit". The end of the input ends nothing: it may be a background job's.
-int serve_fleet(const experiment &settings, const shell_options &how);
+// Serves until SIGTERM, SIGINT or the command "quit". The end of standard input does not end it, so that it
+// can run as a background job.
+int serve_fleet(const experiment &settings, const shell_options &options);
 
 } // namespace harrierpass::testbed
--- a/src/testbed/program/main.cpp
+++ b/src/testbed/program/main.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// harrierpass_testbed: the testbed's command line. exit_code.hpp has its exit codes.
+// harrierpass_testbed: the testbed's command line. exit_code.hpp defines the exit codes.
 #include "testbed/model/experiment_reader.hpp"
 #include "testbed/processes/faulty_proxy.hpp"
 #include "testbed/processes/worker_process.hpp"
@@ -30,50 +30,53 @@
 using namespace harrierpass;
 using namespace harrierpass::testbed;
 
-// Each command has a struct of its options, with add() that declares them and run() that carries it out.
+// Each command is a struct that holds its options: add() declares them, run() executes the command.
 
 struct run_or_compare_command {
     run_command options;
     bool compares = false;
 
-    void add(CLI::App &to) {
+    void add(CLI::App &app) {
         auto &sockets = options.sockets;
-        to.add_option("files", options.files, "experiment files (TOML)")->required();
-        to.add_option("--seeds", options.seeds, "instead of the file's")->delimiter(',');
-        to.add_option("--only", options.only, "variants, by name")->delimiter(',');
-        to.add_option("--results", options.results, "JSON lines are added to this file");
-        to.add_option("--plot", options.plot, "SVG; a folder where there are several experiments");
-        to.add_option("--by", options.policy, "who decides instead: module, whole_list, random, ...");
-        to.add_option("--trace", options.trace, "all that the rule_checker saw of the first run");
-        to.add_option("--jobs", options.jobs, "runs at a time, in virtual time")->check(CLI::Range(1, 256));
-        to.add_flag("--virtual", options.is_virtual, "in virtual time, not on sockets");
-        to.add_option("--program", sockets.program, "the proxy; else the one beside harrierpass_testbed");
-        to.add_option("--logs", sockets.logs, "a folder for the proxies' logs and configurations");
-        to.add_flag("--embed", sockets.embeds, "proxies as threads of this process");
-        to.add_flag("--large", options.large, "the files' [large] size");
-        to.add_flag("--quiet", options.quiet, "no progress");
-        to.add_flag("--agent-lists", options.agent_lists,
-                    "proxies ask a list service for all as if it were an agent beside each of them");
+        app.add_option("files", options.files, "experiment files (TOML)")->required();
+        app.add_option("--seeds", options.seeds, "seeds, instead of the file's")->delimiter(',');
+        app.add_option("--only", options.only, "variants, by name")->delimiter(',');
+        app.add_option("--results", options.results, "appends the results to this file as JSON lines");
+        app.add_option("--plot", options.plot, "SVG file; a folder if there are several experiments");
+        app.add_option("--by", options.policy, "routing policy: module, whole_list, random, ...");
+        app.add_option("--trace", options.trace,
+                       "writes the rule checker's events of the first run to this file");
+        app.add_option("--jobs", options.jobs, "concurrent runs, in virtual time only")
+            ->check(CLI::Range(1, 256));
+        app.add_flag("--virtual", options.is_virtual, "runs in virtual time instead of on sockets");
+        app.add_option("--program", sockets.program,
+                       "the proxy; default: the one beside harrierpass_testbed");
+        app.add_option("--logs", sockets.logs, "folder for the proxies' logs and configurations");
+        app.add_flag("--embed", sockets.embeds, "runs the proxies as threads of this process");
+        app.add_flag("--large", options.large, "uses the [large] size of the files");
+        app.add_flag("--quiet", options.quiet, "no progress");
+        app.add_flag("--agent-lists", options.agent_lists,
+                     "each proxy polls the list service as if it were a local agent");
     }
     int run() const { return run_experiments(options, compares); }
 };
 
-std::vector<run_result> runs_of(const std::string &results) {
+std::vector<run_result> read_runs(const std::string &results) {
     std::vector<run_result> runs;
-    for (auto &each : read_results(results))
-        runs.push_back(std::move(each.run));
+    for (auto &stored : read_results(results))
+        runs.push_back(std::move(stored.run));
     return runs;
 }
 
 struct plot_command {
     std::string results, plot;
 
-    void add(CLI::App &to) {
-        to.add_option("results", results, "a file of results")->required();
-        to.add_option("--to", plot, "the SVG")->required();
+    void add(CLI::App &app) {
+        app.add_option("results", results, "result file (JSON lines)")->required();
+        app.add_option("--to", plot, "SVG file")->required();
     }
     int run() const {
-        write_plot(plot, runs_of(results), {});
+        write_plot(plot, read_runs(results), {});
         return success;
     }
 };
@@ -81,9 +84,9 @@
 struct table_command {
     std::string results;
 
-    void add(CLI::App &to) { to.add_option("results", results, "a file of results")->required(); }
+    void add(CLI::App &app) { app.add_option("results", results, "result file (JSON lines)")->required(); }
     int run() const {
-        std::cout << fleet_table(runs_of(results));
+        std::cout << fleet_table(read_runs(results));
         return success;
     }
 };
@@ -93,19 +96,20 @@
     std::string file, plot;
     bool large = false;
 
-    void add(CLI::App &to) {
-        to.add_option("file", file, "experiment file (TOML)")->required();
-        to.add_option("--rate", options.rate, "executions a second, instead of the file's")
+    void add(CLI::App &app) {
+        app.add_option("file", file, "experiment file (TOML)")->required();
+        app.add_option("--rate", options.rate, "attempts per second, instead of the file's load")
             ->check(CLI::Range(0.0, 1e6));
-        to.add_option("--level", options.level, "of every proxy, instead of its own choice")
+        app.add_option("--level", options.level, "subset level of every proxy, instead of its own choice")
             ->check(CLI::Range(0, 6));
-        to.add_option("--fetched", options.fetched, "share of answers that the origin is asked for")
+        app.add_option("--fetched", options.fetched, "share of responses that need an origin fetch")
             ->check(CLI::Range(0.0, 1.0));
-        to.add_option("--loss", options.loss, "of an answer's worth, lost by a fetch")
+        app.add_option("--loss", options.loss,
+                       "share of a response's value that an origin fetch loses by delay")
             ->check(CLI::Range(0.0, 1.0));
-        to.add_option("--plot", plot, "an SVG");
-        to.add_flag("--json", options.as_json, "all of it, as JSON");
-        to.add_flag("--large", large, "the file's [large] size");
+        app.add_option("--plot", plot, "SVG file");
+        app.add_flag("--json", options.as_json, "prints JSON with all details");
+        app.add_flag("--large", large, "uses the [large] size of the file");
     }
     int run() const {
         std::ofstream drawing;
@@ -123,27 +127,31 @@
     shell_options options;
     std::string file;
 
-    void add(CLI::App &to) {
-        auto &places = options.where;
-        to.add_option("file", file, "experiment file (TOML)")->required();
-        to.add_option("--first-server", places.first_server, "port of server 0, the others' follow")
+    void add(CLI::App &app) {
+        auto &ports = options.ports;
+        app.add_option("file", file, "experiment file (TOML)")->required();
+        app.add_option("--first-server", ports.first_server,
+                       "port of server 0; the other servers use the next ports")
             ->check(CLI::Range(0, 65000));
-        to.add_option("--first-list", places.first_list, "port of discovery for proxy 0, the others' follow")
+        app.add_option("--first-list", ports.first_list,
+                       "port of discovery for proxy 0; the other proxies use the next ports")
             ->check(CLI::Range(0, 65000));
-        to.add_option("--configuration", options.configuration, "a proxy's configuration is written here");
-        to.add_option("--listen", options.listen, "... with this address")->default_val("127.0.0.1:9000");
-        to.add_flag("--faults", options.scripted, "plays the file's faults");
-        to.add_flag("--chatty", options.chatty, "a line for each thing that the servers see");
+        app.add_option("--configuration", options.configuration_path,
+                       "writes a proxy configuration to this file");
+        app.add_option("--listen", options.proxy_address, "listen address in that configuration")
+            ->default_val("127.0.0.1:9000");
+        app.add_flag("--faults", options.plays_faults, "plays the faults of the file");
+        app.add_flag("--chatty", options.prints_events, "prints a line for each event of the servers");
     }
     int run() const { return serve_fleet(read_experiment(file), options); }
 };
 
 void print_load(const load_result &load) {
     std::cout << std::fixed << std::setprecision(3) << "rate " << load.rate
-              << " completed queries a second; p50 " << load.run.p50 * 1e6 << " us, p90 "
+              << " completed requests per second; p50 " << load.run.p50 * 1e6 << " us, p90 "
               << load.run.p90 * 1e6 << " us, p99 " << load.run.p99 * 1e6 << " us, p99.9 "
-              << load.run.p999 * 1e6 << " us\ncpu " << load.cpu_us << " us a query, generator "
-              << load.own_cpu_us << " us a query; resident " << load.resident_kb << " kB, descriptors "
+              << load.run.p999 * 1e6 << " us\ncpu " << load.cpu_us << " us per request, load generator "
+              << load.own_cpu_us << " us per request; resident " << load.resident_kb << " kB, descriptors "
               << load.descriptors << '\n';
     print(std::cout, load.run, true);
 }
@@ -151,19 +159,26 @@
 struct load_command {
     load_options options;
     std::string file;
-    double rate = -1, think_time = -1, length = 0; // as the file has it, if not set
+    double rate = -1, think_time = -1, length = 0; // below 0, or length 0: the file's value
     int closed = -1;
 
-    void add(CLI::App &to) {
-        to.add_option("file", file, "experiment file (TOML)")->required();
-        to.add_option("--to", options.to, "addresses, as 127.0.0.1:9000")->required()->delimiter(',');
-        to.add_option("--rate", rate, "queries a second, instead of the file's")->check(CLI::Range(0.0, 1e6));
-        to.add_option("--closed", closed, "clients that ask again at once")->check(CLI::Range(0, 20000));
-        to.add_option("--think", think_time, "s that these wait before")->check(CLI::Range(0.0, 60.0));
-        to.add_option("--length", length, "s")->check(CLI::Range(0.1, 3600.0));
-        to.add_option("--seed", options.seed, "of the load");
-        to.add_option("--pid", options.pid, "whose CPU and memory are told");
-        to.add_option("--idle", options.idle, "connections that rest meanwhile")->check(CLI::Range(0, 20000));
+    void add(CLI::App &app) {
+        app.add_option("file", file, "experiment file (TOML)")->required();
+        app.add_option("--to", options.to, "target addresses, such as 127.0.0.1:9000")
+            ->required()
+            ->delimiter(',');
+        app.add_option("--rate", rate, "requests per second, instead of the file's")
+            ->check(CLI::Range(0.0, 1e6));
+        app.add_option("--closed", closed,
+                       "closed-loop clients, which send the next request after each response")
+            ->check(CLI::Range(0, 20000));
+        app.add_option("--think", think_time, "seconds that closed-loop clients wait before the next request")
+            ->check(CLI::Range(0.0, 60.0));
+        app.add_option("--length", length, "seconds of load")->check(CLI::Range(0.1, 3600.0));
+        app.add_option("--seed", options.seed, "seed of the load");
+        app.add_option("--pid", options.pid, "process whose CPU time and memory are reported");
+        app.add_option("--idle", options.idle, "connections that stay idle during the load")
+            ->check(CLI::Range(0, 20000));
     }
     int run() const {
         experiment settings = read_experiment(file);
@@ -181,21 +196,24 @@
 
 struct soak_command {
     soak_options options;
-    bool prints = false; // the experiments, instead of playing them
+    bool prints_only = false; // prints the experiments instead of running them
 
-    void add(CLI::App &to) {
+    void add(CLI::App &app) {
         auto &sockets = options.sockets;
-        to.add_option("--first", options.first, "the first seed");
-        to.add_option("--last", options.last, "the last seed");
-        to.add_option("--length", options.length, "s of load in each run")->check(CLI::Range(1.0, 600.0));
-        to.add_option("--jobs", options.jobs, "runs at a time")->check(CLI::Range(1, 16));
-        to.add_option("--logs", sockets.logs, "a folder for the proxies' logs, one for each seed in it");
-        to.add_option("--program", sockets.program, "the proxy; else the one beside harrierpass_testbed");
-        to.add_flag("--print", prints, "prints the experiments and plays nothing");
+        app.add_option("--first", options.first, "the first seed");
+        app.add_option("--last", options.last, "the last seed");
+        app.add_option("--length", options.length, "seconds of load in each run")
+            ->check(CLI::Range(1.0, 600.0));
+        app.add_option("--jobs", options.jobs, "concurrent runs")->check(CLI::Range(1, 16));
+        app.add_option("--logs", sockets.logs,
+                       "folder for the proxies' logs, with a subfolder for each seed");
+        app.add_option("--program", sockets.program,
+                       "the proxy; default: the one beside harrierpass_testbed");
+        app.add_flag("--print", prints_only, "prints the experiments without running them");
     }
     int run() {
         options.last = std::max(options.first, options.last);
-        if (prints) {
+        if (prints_only) {
             for (std::uint32_t seed = options.first; seed <= options.last; ++seed)
                 std::cout << "# seed " << seed << '\n' << soak_experiment(seed, options.length);
             return success;
@@ -203,7 +221,8 @@
         const soak_summary summary = run_soak(options);
         if (summary.failed > 0)
             return rule_broken;
-        // A run on a host that was too slow says nothing; with too many of them, neither does the whole.
+        // Runs on a host that was too slow do not count; if they are the majority, the soak test is
+        // inconclusive.
         return summary.too_slow > summary.passed ? host_too_slow : success;
     }
 };
@@ -211,17 +230,18 @@
 struct worker_command {
     std::string setup;
 
-    void add(CLI::App &to) { to.add_option("setup", setup, "a file that the run wrote")->required(); }
+    void add(CLI::App &app) { app.add_option("setup", setup, "setup file written by the run")->required(); }
     int run() const { return run_worker_process(setup); }
 };
 
 struct proxy_command {
     std::string policy = "module", violation, configuration;
 
-    void add(CLI::App &to) {
-        to.add_option("--by", policy, "module, whole_list, random, least_of_two or plain_ring");
-        to.add_option("--plant", violation, "a stand-in that breaks a rule on purpose, by its plant's name");
-        to.add_option("configuration", configuration, "the proxy's")->required();
+    void add(CLI::App &app) {
+        app.add_option("--by", policy, "module, whole_list, random, least_of_two or plain_ring");
+        app.add_option("--plant", violation,
+                       "runs a proxy stand-in that breaks a rule deliberately: the name of the violation");
+        app.add_option("configuration", configuration, "configuration of the proxy")->required();
     }
     int run() const {
         if (!violation.empty())
@@ -232,49 +252,50 @@
     }
 };
 
-// Where the proxy is not named, it is the one beside this program.
-void set_programs(socket_options &sockets) {
-    std::error_code unknown;
-    sockets.self = std::filesystem::read_symlink("/proc/self/exe", unknown).string();
+// The default proxy is the program beside this one.
+void set_default_programs(socket_options &sockets) {
+    std::error_code ignored;
+    sockets.self = std::filesystem::read_symlink("/proc/self/exe", ignored).string();
     if (sockets.program.empty())
         sockets.program = sockets.self.substr(0, sockets.self.rfind('/') + 1) + "harrierpass";
 }
 
-// All commands of the program.
+// Declares the commands and dispatches to the selected one.
 class command_line {
 public:
     command_line() : app_("harrierpass_testbed: fleets, load and experiments for harrierpass") {
         app_.require_subcommand(1);
-        add("run", "runs experiments and judges them by the rules", run_);
+        add("run", "runs experiments and checks them against the rules", run_);
         compare_.compares = true;
         add("compare",
-            "runs the variants paired on the same seeds, or reads .jsonl results, "
-            "and tells differences from noise",
+            "runs the variants on the same seeds or reads .jsonl results, and "
+            "distinguishes significant differences from noise",
             compare_);
-        add("plot", "draws results (JSON lines) as SVG", plot_);
-        add("table", "results (JSON lines) as a table of the fleet's figures", table_);
-        add("subsets", "which servers the proxies prefer, and what it adds up to", subsets_);
-        add("fleet", "stand-in servers and discovery on loopback, until it is ended", fleet_);
-        add("load", "sends a file's load to proxies, or straight to a server", load_);
-        add("soak", "real processes under random faults that overlap, by seed", soak_);
-        add("part", "a part of a run's world, started by the run", worker_);
-        add("proxy", "the proxy with a baseline in the place of its module", proxy_);
+        add("plot", "draws results (JSON lines) as an SVG plot", plot_);
+        add("table", "prints results (JSON lines) as a table of fleet metrics", table_);
+        add("subsets", "prints which servers the proxies prefer, and the resulting load and connections",
+            subsets_);
+        add("fleet", "runs stand-in servers and discovery on loopback until it is stopped", fleet_);
+        add("load", "sends the load of an experiment to proxies or directly to a server", load_);
+        add("soak", "runs real processes under random overlapping faults, drawn by seed", soak_);
+        add("part", "runs a worker process of a run; started by the run itself", worker_);
+        add("proxy", "runs the proxy with a baseline policy", proxy_);
     }
 
     int run(int count, char **values) {
         try {
             app_.parse(count, values);
         } catch (const CLI::ParseError &error) {
-            return app_.exit(error) == 0 ? success : unusable;
+            return app_.exit(error) == 0 ? success : invalid_input;
         }
         try {
-            set_programs(run_.options.sockets);
-            set_programs(compare_.options.sockets);
-            set_programs(soak_.options.sockets);
-            return chosen_();
+            set_default_programs(run_.options.sockets);
+            set_default_programs(compare_.options.sockets);
+            set_default_programs(soak_.options.sockets);
+            return selected_command_();
         } catch (const std::exception &error) {
             std::cerr << "harrierpass_testbed: " << error.what() << '\n';
-            return unusable;
+            return invalid_input;
         }
     }
 
@@ -283,11 +304,11 @@
     void add(const std::string &name, const std::string &description, Command &command) {
         CLI::App *const subcommand = app_.add_subcommand(name, description);
         command.add(*subcommand);
-        subcommand->callback([this, &command] { chosen_ = [&command] { return command.run(); }; });
+        subcommand->callback([this, &command] { selected_command_ = [&command] { return command.run(); }; });
     }
 
     CLI::App app_;
-    std::function<int()> chosen_;
+    std::function<int()> selected_command_;
     run_or_compare_command run_, compare_;
     plot_command plot_;
     table_command table_;
--- a/src/testbed/program/subset_table.hpp
+++ b/src/testbed/program/subset_table.hpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-// harrierpass_testbed subsets: which servers the proxies of an experiment prefer, what that adds up to at
-// each server, and what a change of the fleet would move. Worked out from the file alone; nothing is started.
+// Implements `harrierpass_testbed subsets`: which servers the proxies of an experiment prefer, the resulting
+// load and connections at each server, and how many preferences a change of the fleet would move. Computed
+// from the experiment alone; no process is started.
 #pragma once
 
 #include "testbed/model/experiment.hpp"
@@ -9,17 +10,17 @@
 
 namespace harrierpass::testbed {
 
-// What the table assumes where the experiment does not say it.
+// Assumptions of the table that the experiment does not specify.
 struct subset_options {
-    double rate = -1;   // attempts a second over all proxies; below 0: the file's load
-    double fetched = 0; // share of answers for which the origin is asked without subsets
-    double loss = 0;    // of an answer's worth, that a fetched one loses by coming late
-    int level = -1;     // of every proxy; below 0: as each would choose by its rate
+    double rate = -1;   // attempts per second over all proxies; below 0: the file's load
+    double fetched = 0; // share of responses that need an origin fetch without subsets
+    double loss = 0;    // share of a response's value that an origin fetch loses by delay
+    int level = -1;     // of every proxy; below 0: each proxy's choice for its rate
     bool as_json = false;
 };
 
-// Prints the table, or JSON, to `to`; the plot, SVG, goes to `plot` where there is one.
-void print_subset_table(const experiment &settings, const subset_options &options, std::ostream &to,
+// Prints the table or JSON to `output`, and an SVG plot to `plot` unless it is null.
+void print_subset_table(const experiment &settings, const subset_options &options, std::ostream &output,
                         std::ostream *plot);
 
 } // namespace harrierpass::testbed
