--- a/src/testbed/soak/soak_plan.hpp
+++ b/src/testbed/soak/soak_plan.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// Experiments for the soak test: real processes under faults that a seed draws and that overlap. The seed
-// alone gives the whole experiment, so that a run that broke a rule can be played again.
+// Generates the experiments of the soak test: real processes under random, overlapping faults. The experiment
+// depends on the seed and the length only, so that a run that broke a rule can be repeated.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +8,7 @@
 
 namespace harrierpass::testbed {
 
-// An experiment file (TOML) of `length` seconds.
+// Returns the text of an experiment file (TOML). `length`: seconds.
 std::string soak_experiment(std::uint32_t seed, double length);
 
 } // namespace harrierpass::testbed
--- a/src/testbed/soak/soak_runner.cpp
+++ b/src/testbed/soak/soak_runner.cpp
@@ -14,7 +14,7 @@
 namespace harrierpass::testbed {
 namespace {
 
-// Takes seeds in ascending order, in as many threads as there are jobs.
+// Runs the seeds in ascending order, in one thread per job.
 class soak_runner {
 public:
     explicit soak_runner(const soak_options &options) : options_(options), next_seed_(options.first) {}
@@ -22,33 +22,33 @@
     soak_summary run() {
         std::vector<std::thread> threads;
         for (unsigned i = 1; i < options_.jobs; ++i)
-            threads.emplace_back([this] { play_remaining(); });
-        play_remaining();
-        for (auto &each : threads)
-            each.join();
+            threads.emplace_back([this] { run_remaining(); });
+        run_remaining();
+        for (auto &thread : threads)
+            thread.join();
         return summary_;
     }
 
 private:
-    void play_remaining() {
+    void run_remaining() {
         for (std::uint32_t seed; (seed = next_seed_++) <= options_.last;)
             try {
-                play(seed);
-            } catch (const std::exception &error) { // one run that can't be played ends no other
-                const std::lock_guard hold(lock_);
+                run_seed(seed);
+            } catch (const std::exception &error) { // a run that cannot be set up does not stop the others
+                const std::lock_guard guard(output_mutex_);
                 ++summary_.failed;
                 std::cout << "soak-" << seed << ": " << error.what() << std::endl;
             }
     }
 
-    void play(std::uint32_t seed) {
+    void run_seed(std::uint32_t seed) {
         const experiment settings = parse_experiment(soak_experiment(seed, options_.length),
                                                      "soak-" + std::to_string(seed) + ".toml");
         socket_options sockets = options_.sockets;
         if (!sockets.logs.empty())
             sockets.logs += "/" + std::to_string(seed);
         const run_result result = run_on_sockets(settings, settings.variants[0], seed, sockets);
-        const std::lock_guard hold(lock_);
+        const std::lock_guard guard(output_mutex_);
         count(result);
         print(std::cout, result, true);
         std::cout << std::flush;
@@ -65,7 +65,7 @@
 
     const soak_options &options_;
     std::atomic<std::uint32_t> next_seed_;
-    std::mutex lock_; // of the summary and standard output
+    std::mutex output_mutex_; // guards the summary and standard output
     soak_summary summary_;
 };
 
