--- a/examples/toy_server.cpp
+++ b/examples/toy_server.cpp
@@ -45,9 +45,9 @@
 int main() {
     using namespace harrierpass::testbed;
     shell_options options;
-    options.where.first_server = 9101;
-    options.where.first_list = 8500;
-    options.chatty = true;
+    options.ports.first_server = 9101;
+    options.ports.first_list = 8500;
+    options.prints_events = true;
     try {
         return serve_fleet(parse_experiment(fleet_experiment, "toy"), options);
     } catch (const std::exception &error) {
--- a/src/testbed/verification/fleet_metrics.hpp
+++ b/src/testbed/verification/fleet_metrics.hpp
@@ -32,8 +32,8 @@
     void on_attempt(index server);           // a server received an attempt
     void on_sent_to_dead(bool health_check); // an attempt or health check was sent to a dead server
     void on_poll(list_poll response, std::size_t bytes);
-    void on_request_settled(index proxy, double served,
-                            double requested); // priority weights of a finished request
+    // A client's request is finished; `served` and `requested` are priority weights.
+    void on_request_settled(index proxy, double served, double requested);
 
     // Values by name, in the order of reports. `requests`: requests of the run, the divisor of the ratios.
     std::vector<std::pair<std::string, double>> values(std::uint64_t requests) const;
--- a/src/testbed/verification/result.hpp
+++ b/src/testbed/verification/result.hpp
@@ -29,7 +29,7 @@
     std::string experiment, variant, mode; // mode: "virtual" or "sockets"
     std::uint32_t seed = 0;
     double length = 0, wall = 0; // seconds; wall: wall-clock time that the run took
-    double service = 0;          // priority weight served before the deadline, as a share of the total
+    double service = 0; // priority weight served over the total; late responses count by late value share
     std::uint64_t queries = 0, completed = 0, late = 0, rejected = 0, aborted = 0, none = 0, retries = 0;
     std::uint64_t executions = 0, fetches = 0, events = 0, trace = 0;
     double p50 = 0, p90 = 0, p99 = 0, p999 = 0;                      // seconds, of completed requests
--- a/tests/testbed/many_test.cpp
+++ b/tests/testbed/many_test.cpp
@@ -411,7 +411,7 @@
         event_merge events(clock, judge);
         const auto own = events.add_source(), one = events.add_source(), two = events.add_source();
         const auto put = [&](std::size_t source, observed_event what, double when) {
-            what.when = when;
+            what.observed_at = when;
             if (merges)
                 return events.add(source, what);
             replay_event(what, judge);
