--- a/tests/support/stand.hpp
+++ b/tests/support/stand.hpp
@@ -82,7 +82,7 @@
         if (!options.start_proxy)
             return;
         proxy = std::make_unique<service>(read_configuration(config), log_output, log_level::debug);
-        port = ntohs(reinterpret_cast<const sockaddr_in &>(proxy->at().storage).sin_port);
+        port = ntohs(reinterpret_cast<const sockaddr_in &>(proxy->listen_address().storage).sin_port);
         control_port =
             ntohs(reinterpret_cast<const sockaddr_in &>(proxy->control_address().storage).sin_port);
         while (!is_ready())
