--- a/tests/testbed/testbed_test.cpp
+++ b/tests/testbed/testbed_test.cpp
@@ -223,7 +223,7 @@
             const bool told =
                 std::any_of(run.histories.begin(), run.histories.end(), [&](const std::string &story) {
                     return story.find(std::string("rule ") + name_of(which)) != std::string::npos &&
-                           story.find("asked of proxy") != std::string::npos;
+                           story.find("sent to proxy") != std::string::npos;
                 });
             CHECK(told);
         }
@@ -330,7 +330,7 @@
     }
     CHECK(said.starts_with(path + ":3: no result"));
     std::filesystem::remove(path);
-    const std::string svg = plot_svg({run}, shades_of(given));
+    const std::string svg = plot_svg({run}, fault_intervals(given));
     CHECK(svg.starts_with("<svg "));
     CHECK(svg.find("nan") == std::string::npos);
 }
