--- a/src/testbed/faults/system_faults.cpp
+++ b/src/testbed/faults/system_faults.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
-// A library that the testbed preloads into a proxy that it starts: calls of the system fail, or do a part
-// of what was asked, as the manual pages say they may; the wall clock steps. Only errors that leave a
-// connection as it was are made up: one that breaks it for good is a link's fault. What it did is counted and
-// printed when the process ends.
+// Library that the testbed preloads into the proxies that it starts. It makes system calls fail or complete
+// partially, within the limits of their manual pages, and steps the wall clock. It injects only errors that
+// leave a connection usable; errors that break a connection are link faults. The numbers of injected faults
+// are printed when the process ends.
 //
-// HARRIERPASS_FAULTS="SEED RATE FROM FOR STEP": a share RATE of the calls fails in the FOR seconds that begin
-// FROM seconds after the start; from then on the wall clock is STEP seconds off.
+// HARRIERPASS_FAULTS="SEED RATE FROM FOR STEP": the share RATE of the calls fails during FOR seconds, which
+// begin FROM seconds after the start; from then on the wall clock is off by STEP seconds.
 #include <algorithm>
 #include <array>
 #include <atomic>
@@ -23,65 +23,75 @@
 
 namespace {
 
-enum call : std::uint8_t { of_accept, of_socket, of_connect, of_recv, of_send, of_poll, of_thread, calls };
-constexpr std::array<const char *, calls> names = {"accept4", "socket", "connect",       "recv",
-                                                   "sendmsg", "ppoll",  "pthread_create"};
+enum call : std::uint8_t {
+    of_accept,
+    of_socket,
+    of_connect,
+    of_recv,
+    of_send,
+    of_poll,
+    of_thread,
+    call_count
+};
+constexpr std::array<const char *, call_count> names = {"accept4", "socket", "connect",       "recv",
+                                                        "sendmsg", "ppoll",  "pthread_create"};
 
-template <typename Function> Function next(const char *name) {
+template <typename Function> Function real_function(const char *name) {
     return reinterpret_cast<Function>(dlsym(RTLD_NEXT, name));
 }
 
 double steady_now() {
-    static const auto real = next<int (*)(clockid_t, timespec *)>("clock_gettime");
+    static const auto real = real_function<int (*)(clockid_t, timespec *)>("clock_gettime");
     timespec now{};
     real(CLOCK_MONOTONIC, &now);
     return static_cast<double>(now.tv_sec) + static_cast<double>(now.tv_nsec) * 1e-9;
 }
 
-// What the environment asks for.
+// Faults to inject, from the environment variable HARRIERPASS_FAULTS.
 struct fault_plan {
     unsigned long seed = 1;
-    double rate = 0, from = 0, lasts = 0, step = 0;
-    double started = steady_now();
+    double rate = 0, start = 0, duration = 0, clock_step = 0;
+    double start_time = steady_now();
 
     fault_plan() {
         if (const char *text = std::getenv("HARRIERPASS_FAULTS"))
-            std::sscanf(text, "%lu %lf %lf %lf %lf", &seed, &rate, &from, &lasts, &step);
+            std::sscanf(text, "%lu %lf %lf %lf %lf", &seed, &rate, &start, &duration, &clock_step);
     }
-    double age() const { return steady_now() - started; }
+    double uptime() const { return steady_now() - start_time; }
 };
 
 const fault_plan &plan() {
-    static const fault_plan made;
-    return made;
+    static const fault_plan environment_plan;
+    return environment_plan;
 }
 
-// SplitMix64, by the number of the draw: no lock, and the same draws for the same seed and order of calls.
+// SplitMix64 of the draw's number: needs no lock, and gives the same draws for the same seed and order of
+// calls.
 double draw() {
-    static std::atomic<std::uint64_t> number = 0;
-    std::uint64_t mixed = (plan().seed + number.fetch_add(1)) * 0x9e3779b97f4a7c15ULL;
-    mixed = (mixed ^ (mixed >> 30)) * 0xbf58476d1ce4e5b9ULL;
-    mixed = (mixed ^ (mixed >> 27)) * 0x94d049bb133111ebULL;
-    return static_cast<double>((mixed ^ (mixed >> 31)) >> 11) * 0x1.0p-53;
-}
-
-std::array<std::atomic<unsigned long>, calls> made_up;
-
-struct report {
-    report() = default;
-    report(const report &) = delete;
-    report &operator=(const report &) = delete;
-    ~report() {
-        for (std::size_t i = 0; i < calls; ++i)
-            std::fprintf(stderr, "counter faults_%s %lu\n", names[i], made_up[i].load());
+    static std::atomic<std::uint64_t> draw_count = 0;
+    std::uint64_t hash = (plan().seed + draw_count.fetch_add(1)) * 0x9e3779b97f4a7c15ULL;
+    hash = (hash ^ (hash >> 30)) * 0xbf58476d1ce4e5b9ULL;
+    hash = (hash ^ (hash >> 27)) * 0x94d049bb133111ebULL;
+    return static_cast<double>((hash ^ (hash >> 31)) >> 11) * 0x1.0p-53;
+}
+
+std::array<std::atomic<unsigned long>, call_count> injected_faults;
+
+struct fault_report {
+    fault_report() = default;
+    fault_report(const fault_report &) = delete;
+    fault_report &operator=(const fault_report &) = delete;
+    ~fault_report() {
+        for (std::size_t i = 0; i < call_count; ++i)
+            std::fprintf(stderr, "counter faults_%s %lu\n", names[i], injected_faults[i].load());
     }
-} at_end;
+} report_at_exit;
 
-bool happens(call which) {
-    const double age = plan().age();
-    if (age < plan().from || age >= plan().from + plan().lasts || draw() >= plan().rate)
+bool should_fail(call called) {
+    const double uptime = plan().uptime();
+    if (uptime < plan().start || uptime >= plan().start + plan().duration || draw() >= plan().rate)
         return false;
-    made_up[which].fetch_add(1, std::memory_order_relaxed);
+    injected_faults[called].fetch_add(1, std::memory_order_relaxed);
     return true;
 }
 
@@ -90,16 +100,16 @@
     return -1;
 }
 
-// As a signal leaves it: the connection comes up by itself.
+// Connects as if a signal had interrupted the call: the connection is established in the background.
 int interrupted_connect(int fd, const sockaddr *to, socklen_t size) {
-    static const auto real = next<int (*)(int, const sockaddr *, socklen_t)>("connect");
+    static const auto real = real_function<int (*)(int, const sockaddr *, socklen_t)>("connect");
     const int flags = ::fcntl(fd, F_GETFL);
     ::fcntl(fd, F_SETFL, flags | O_NONBLOCK);
-    const int done = real(fd, to, size);
-    const int why = errno;
+    const int result = real(fd, to, size);
+    const int error = errno;
     ::fcntl(fd, F_SETFL, flags);
-    errno = done != 0 && why == EINPROGRESS ? EINTR : why;
-    return done;
+    errno = result != 0 && error == EINPROGRESS ? EINTR : error;
+    return result;
 }
 
 } // namespace
@@ -107,68 +117,71 @@
 extern "C" {
 
 int accept4(int fd, sockaddr *from, socklen_t *size, int flags) {
-    static const auto real = next<int (*)(int, sockaddr *, socklen_t *, int)>("accept4");
+    static const auto real = real_function<int (*)(int, sockaddr *, socklen_t *, int)>("accept4");
     static constexpr std::array errors = {ECONNABORTED, EMFILE, ENFILE, ENOBUFS, ENOMEM, EINTR, EPROTO};
-    return happens(of_accept) ? fail_with(errors) : real(fd, from, size, flags);
+    return should_fail(of_accept) ? fail_with(errors) : real(fd, from, size, flags);
 }
 
 int socket(int family, int type, int protocol) {
-    static const auto real = next<int (*)(int, int, int)>("socket");
+    static const auto real = real_function<int (*)(int, int, int)>("socket");
     static constexpr std::array errors = {EMFILE, ENFILE, ENOBUFS, ENOMEM};
-    return happens(of_socket) ? fail_with(errors) : real(family, type, protocol);
+    return should_fail(of_socket) ? fail_with(errors) : real(family, type, protocol);
 }
 
 int connect(int fd, const sockaddr *to, socklen_t size) {
-    static const auto real = next<int (*)(int, const sockaddr *, socklen_t)>("connect");
+    static const auto real = real_function<int (*)(int, const sockaddr *, socklen_t)>("connect");
     static constexpr std::array errors = {EADDRNOTAVAIL, ENETUNREACH, ETIMEDOUT,
                                           EHOSTUNREACH,  ENOBUFS,     EINTR};
-    if (!happens(of_connect))
+    if (!should_fail(of_connect))
         return real(fd, to, size);
     const int failed = fail_with(errors);
     return errno == EINTR ? interrupted_connect(fd, to, size) : failed;
 }
 
 ssize_t recv(int fd, void *to, size_t size, int flags) {
-    static const auto real = next<ssize_t (*)(int, void *, size_t, int)>("recv");
+    static const auto real = real_function<ssize_t (*)(int, void *, size_t, int)>("recv");
     static constexpr std::array errors = {EINTR, ENOMEM};
-    if (!happens(of_recv))
+    if (!should_fail(of_recv))
         return real(fd, to, size, flags);
     return draw() < 0.5 ? fail_with(errors) : real(fd, to, std::min<size_t>(size, 7), flags);
 }
 
 ssize_t sendmsg(int fd, const msghdr *message, int flags) {
-    static const auto real = next<ssize_t (*)(int, const msghdr *, int)>("sendmsg");
+    static const auto real = real_function<ssize_t (*)(int, const msghdr *, int)>("sendmsg");
     static constexpr std::array errors = {EINTR, ENOBUFS, ENOMEM, EAGAIN};
-    if (!happens(of_send))
+    if (!should_fail(of_send))
         return real(fd, message, flags);
     if (draw() < 0.5 || message->msg_iovlen == 0 || message->msg_iov[0].iov_len == 0 ||
         message->msg_controllen > 0)
         return fail_with(errors);
-    iovec part = message->msg_iov[0];
-    part.iov_len = (part.iov_len + 1) / 2;
-    msghdr less = *message;
-    less.msg_iov = &part;
-    less.msg_iovlen = 1;
-    return real(fd, &less, flags);
+    iovec first_half = message->msg_iov[0];
+    first_half.iov_len = (first_half.iov_len + 1) / 2;
+    msghdr partial_message = *message;
+    partial_message.msg_iov = &first_half;
+    partial_message.msg_iovlen = 1;
+    return real(fd, &partial_message, flags);
 }
 
 int ppoll(pollfd *fds, nfds_t count, const timespec *limit, const sigset_t *mask) {
-    static const auto real = next<int (*)(pollfd *, nfds_t, const timespec *, const sigset_t *)>("ppoll");
+    static const auto real =
+        real_function<int (*)(pollfd *, nfds_t, const timespec *, const sigset_t *)>("ppoll");
     static constexpr std::array errors = {EINTR, ENOMEM};
-    return happens(of_poll) ? fail_with(errors) : real(fds, count, limit, mask);
+    return should_fail(of_poll) ? fail_with(errors) : real(fds, count, limit, mask);
 }
 
-int pthread_create(pthread_t *id, const pthread_attr_t *how, void *(*body)(void *), void *given) {
+int pthread_create(pthread_t *id, const pthread_attr_t *attributes, void *(*start_routine)(void *),
+                   void *argument) {
     static const auto real =
-        next<int (*)(pthread_t *, const pthread_attr_t *, void *(*)(void *), void *)>("pthread_create");
-    return happens(of_thread) ? EAGAIN : real(id, how, body, given);
+        real_function<int (*)(pthread_t *, const pthread_attr_t *, void *(*)(void *), void *)>(
+            "pthread_create");
+    return should_fail(of_thread) ? EAGAIN : real(id, attributes, start_routine, argument);
 }
 
-int clock_gettime(clockid_t which, timespec *now) {
-    static const auto real = next<int (*)(clockid_t, timespec *)>("clock_gettime");
-    const int done = real(which, now);
-    if (done == 0 && which == CLOCK_REALTIME && plan().step != 0 && plan().age() >= plan().from)
-        now->tv_sec += static_cast<time_t>(plan().step);
-    return done;
+int clock_gettime(clockid_t clock, timespec *now) {
+    static const auto real = real_function<int (*)(clockid_t, timespec *)>("clock_gettime");
+    const int result = real(clock, now);
+    if (result == 0 && clock == CLOCK_REALTIME && plan().clock_step != 0 && plan().uptime() >= plan().start)
+        now->tv_sec += static_cast<time_t>(plan().clock_step);
+    return result;
 }
 }
