--- a/src/testbed/links/datagram_relay.hpp
+++ b/src/testbed/links/datagram_relay.hpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-// Datagrams between the proxies of a run, over links that lose, delay,
-// duplicate and reorder them as the table of conditions says. Each ordered pair
-// of proxies has a loopback address; one socket serves them all.
+// Relays datagrams between the proxies of a run, and loses, delays, duplicates and reorders them according to
+// the table of conditions. Each ordered pair of proxies has a loopback address; one socket serves all of
+// them.
 #pragma once
 
 #include "net/sockets.hpp"
@@ -14,26 +14,25 @@
 
 namespace harrierpass::testbed {
 
-// What is sent to `address_of(p, q)` from p's own address reaches q, with
-// `address_of(q, p)` as its sender; from elsewhere it reaches nobody. Used from
-// the loop's thread only.
+// Forwards a datagram that proxy p sends to `address_of(p, q)` to proxy q, with `address_of(q, p)` as its
+// sender address. Drops datagrams from other addresses. Used from the loop's thread only.
 class datagram_relay {
 public:
-    // `proxies`: the address that each proxy binds, by number. `seed`: of loss
-    // and jitter. Throws std::system_error where there is no socket.
-    datagram_relay(loop &in, const link_table &table, std::vector<address> proxies, std::uint32_t seed);
+    // `proxies`: the address that each proxy binds, by number. `seed`: for loss and jitter. Throws
+    // std::system_error if the socket cannot be set up.
+    datagram_relay(loop &event_loop, const link_table &table, std::vector<address> proxies,
+                   std::uint32_t seed);
     ~datagram_relay();
     datagram_relay(const datagram_relay &) = delete;
     datagram_relay &operator=(const datagram_relay &) = delete;
 
-    // Where proxy `by` finds proxy `other`.
-    address address_of(index by, index other) const;
-    // Where proxy `by` reaches all other proxies with one datagram.
-    address broadcast_address(index by) const;
+    // The address at which proxy `sender` reaches proxy `other`.
+    address address_of(index sender, index other) const;
+    // The address at which proxy `sender` reaches all other proxies with one datagram.
+    address broadcast_address(index sender) const;
 
-    // Datagrams since the start; `bytes` of those sent. A copy for each receiver
-    // counts as delivered or dropped. `foreign`: from an address that is no
-    // proxy's, or not the right one's.
+    // Datagrams since the start; `bytes` is the size of those sent. Each receiver's copy counts as delivered
+    // or dropped. `foreign`: sent from an address that is not a proxy's, or not the expected one's.
     struct datagram_counters {
         std::uint64_t sent = 0, bytes = 0, delivered = 0, dropped = 0, duplicated = 0, reordered = 0,
                       foreign = 0, too_long = 0;
@@ -41,8 +40,7 @@
     const datagram_counters &counters() const { return counters_; }
 
 private:
-    // A datagram as it arrived, and the relay's address that it was sent to, in
-    // host order.
+    // A received datagram; `sent_to` is its destination address at the relay, in host order.
     struct arrival {
         std::string bytes;
         address sender;
@@ -50,8 +48,8 @@
     };
     void read();
     void route(const arrival &datagram);
-    void carry(index from, index to, const std::string &bytes);
-    void deliver(index from, index to, const std::string &bytes);
+    void carry(index sender, index receiver, const std::string &bytes);
+    void deliver(index sender, index receiver, const std::string &bytes);
     address numbered_address(std::uint32_t number) const;
 
     loop &loop_;
--- a/src/testbed/links/relay.cpp
+++ b/src/testbed/links/relay.cpp
@@ -15,146 +15,147 @@
 namespace harrierpass::testbed {
 namespace {
 
-constexpr std::size_t read_size = 65536; // bytes read at a time
-constexpr std::size_t max_queued_bytes =
-    262144;                                     // bytes of a direction that wait; more stay with their sender
-constexpr std::uint32_t relay_net = 0x7f100000; // 127.16.0.0 and on: links' own addresses
+constexpr std::size_t read_size = 65536;         // bytes read at a time
+constexpr std::size_t max_queued_bytes = 262144; // per direction; further bytes stay in the sender's socket
+constexpr std::uint32_t relay_net = 0x7f100000;  // 127.16.0.0 and up: addresses of links
 
 } // namespace
 
-relay::relay(loop &in, const link_table &table, std::uint32_t seed)
-    : loop_(in), table_(table), random_(seed) {}
+relay::relay(loop &event_loop, const link_table &table, std::uint32_t seed)
+    : loop_(event_loop), table_(table), random_(seed) {}
 
 relay::~relay() {
-    for (auto &[tag, each] : connections_)
-        for (side *one : {&each->near, &each->far})
-            if (one->watched)
-                loop_.forget(one->socket.get());
-    for (auto &[number, each] : links_)
-        if (each.listening)
-            loop_.forget(each.listening.get());
+    for (auto &[tag, connection] : connections_)
+        for (side *end : {&connection->near, &connection->far})
+            if (end->watched)
+                loop_.forget(end->socket.get());
+    for (auto &[key, link] : links_)
+        if (link.listener)
+            loop_.forget(link.listener.get());
 }
 
-std::uint64_t relay::key(const link_id &which) {
-    return (static_cast<std::uint64_t>(which.kind) << 56) | (std::uint64_t{which.near} << 28) | which.far;
+std::uint64_t relay::key(const link_id &id) {
+    return (static_cast<std::uint64_t>(id.kind) << 56) | (std::uint64_t{id.near} << 28) | id.far;
 }
 
-far_state relay::far_state_of(const link_id &which) const {
-    const auto found = far_.find({which.kind, which.far});
-    return found == far_.end() ? far_state::up : found->second;
+far_state relay::far_state_of(const link_id &id) const {
+    const auto found = far_states_.find({id.kind, id.far});
+    return found == far_states_.end() ? far_state::up : found->second;
 }
 
-address relay::open(const link_id &which, const address &far) {
-    auto &made = links_[key(which)];
-    made.id = which;
-    made.far = far;
-    // An address of its own for each link: no connection that is made here can
-    // take its port meanwhile. The process's number keeps two runs on one machine
-    // apart.
-    const auto place = static_cast<std::uint32_t>(links_.size());
-    made.at = ipv4(relay_net + (static_cast<std::uint32_t>(::getpid() % 100) << 16) + place, 0);
-    listen(made);
-    made.at = local_address(made.listening);
-    update_listener(made);
-    return made.at;
+address relay::open(const link_id &id, const address &far) {
+    auto &link = links_[key(id)];
+    link.id = id;
+    link.far_address = far;
+    // Each link has a separate address, so that no outgoing connection can take its port while the listener
+    // is closed. The process id keeps two runs on one machine apart.
+    const auto link_number = static_cast<std::uint32_t>(links_.size());
+    link.near_address =
+        ipv4(relay_net + (static_cast<std::uint32_t>(::getpid() % 100) << 16) + link_number, 0);
+    listen(link);
+    link.near_address = local_address(link.listener);
+    update_listener(link);
+    return link.near_address;
 }
 
-void relay::set_far_address(const link_id &which, const address &far) {
-    find(which).far = far;
+void relay::set_far_address(const link_id &id, const address &far) {
+    find(id).far_address = far;
 }
 
-void relay::listen(link &on) {
-    on.listening = listen_on(on.at);
-    if (!on.listening)
+void relay::listen(link_entry &link) {
+    link.listener = listen_on(link.near_address);
+    if (!link.listener)
         throw std::system_error(errno, std::generic_category(),
-                                "cannot listen for a link at " + to_text(on.at));
-    on.filtered = false;
-    loop_.watch(on.listening.get(), EPOLLIN, [this, which = on.id](std::uint32_t) { accept(which); });
+                                "cannot listen for a link at " + to_text(link.near_address));
+    link.filtered = false;
+    loop_.watch(link.listener.get(), EPOLLIN, [this, id = link.id](std::uint32_t) { accept(id); });
 }
 
-void relay::close_listener(link &on) {
-    loop_.forget(on.listening.get());
-    on.listening.close();
+void relay::close_listener(link_entry &link) {
+    loop_.forget(link.listener.get());
+    link.listener.close();
 }
 
-void relay::update_listener(link &on) {
-    const far_state far = far_state_of(on.id);
-    if (far == far_state::refuses && on.listening)
-        return close_listener(on);
+void relay::update_listener(link_entry &link) {
+    const far_state far = far_state_of(link.id);
+    if (far == far_state::refuses && link.listener)
+        return close_listener(link);
     if (far == far_state::refuses)
         return;
-    if (!on.listening)
-        listen(on);
-    const bool drops = far == far_state::silent || !table_.conditions(on.id).can_connect();
-    if (drops != on.filtered)
-        set_drop_filter(on.listening, drops);
-    on.filtered = drops;
+    if (!link.listener)
+        listen(link);
+    const bool drops = far == far_state::silent || !table_.conditions(link.id).can_connect();
+    if (drops != link.filtered)
+        set_drop_filter(link.listener, drops);
+    link.filtered = drops;
 }
 
-void relay::set_far_state(link_kind kind, index far, far_state is) {
-    far_[{kind, far}] = is;
-    for (auto &[number, each] : links_)
-        if (each.id.kind == kind && each.id.far == far)
-            update_listener(each);
+void relay::set_far_state(link_kind kind, index far, far_state state) {
+    far_states_[{kind, far}] = state;
+    for (auto &[key, link] : links_)
+        if (link.id.kind == kind && link.id.far == far)
+            update_listener(link);
 }
 
-void relay::accept(const link_id &which) {
-    auto &on = find(which);
+void relay::accept(const link_id &id) {
+    auto &link = find(id);
     address peer;
-    while (on.listening) {
-        tcp_socket one = accept_on(on.listening, peer);
-        if (!one)
+    while (link.listener) {
+        tcp_socket accepted = accept_on(link.listener, peer);
+        if (!accepted)
             break;
-        if (table_.conditions(which).resets) {
-            reset_on_close(one);
+        if (table_.conditions(id).resets) {
+            reset_on_close(accepted);
             continue;
         }
-        auto made = std::make_unique<proxied_connection>();
-        made->tag = next_++;
-        made->of = which;
-        made->near.socket = std::move(one);
-        made->far.socket = start_connecting(on.far);
-        made->far.connecting = true;
-        if (!made->far.socket) {
-            reset_on_close(made->near.socket);
+        auto created = std::make_unique<proxied_connection>();
+        created->tag = next_tag_++;
+        created->id = id;
+        created->near.socket = std::move(accepted);
+        created->far.socket = start_connecting(link.far_address);
+        created->far.connecting = true;
+        if (!created->far.socket) {
+            reset_on_close(created->near.socket);
             continue;
         }
-        auto &of = *made;
-        connections_[made->tag] = std::move(made);
-        update_interest(of);
+        auto &connection = *created;
+        connections_[created->tag] = std::move(created);
+        update_interest(connection);
     }
 }
 
-// Which events each side waits for, from the state of both directions.
-void relay::update_interest(proxied_connection &of) {
-    update_interest_of(of, true);
-    update_interest_of(of, false);
+// Sets the events that each side waits for, from the state of both directions.
+void relay::update_interest(proxied_connection &connection) {
+    update_interest_of(connection, true);
+    update_interest_of(connection, false);
 }
 
-void relay::update_interest_of(proxied_connection &of, bool near) {
-    side &here = near ? of.near : of.far;
-    const link_conditions &now = table_.conditions(of.of);
-    const direction out = near ? direction::forward : direction::backward;
-    const direction in = near ? direction::backward : direction::forward;
-    const byte_stream &sends = of.streams[static_cast<int>(out)], &gets = of.streams[static_cast<int>(in)];
-    const bool writes = here.connecting || (!gets.chunks.empty() && !now.at(in).dropped &&
-                                            gets.chunks.front().due <= loop_.clock.now());
-    const bool reads = !here.connecting && !sends.sender_ended && !now.at(out).dropped &&
-                       sends.queued_bytes < max_queued_bytes;
+void relay::update_interest_of(proxied_connection &connection, bool near) {
+    side &end = near ? connection.near : connection.far;
+    const link_conditions &now = table_.conditions(connection.id);
+    const direction outgoing = near ? direction::forward : direction::backward;
+    const direction incoming = near ? direction::backward : direction::forward;
+    const byte_stream &sent_stream = connection.streams[static_cast<int>(outgoing)],
+                      &received_stream = connection.streams[static_cast<int>(incoming)];
+    const bool writes = end.connecting || (!received_stream.chunks.empty() && !now.at(incoming).dropped &&
+                                           received_stream.chunks.front().due <= loop_.clock.now());
+    const bool reads = !end.connecting && !sent_stream.sender_ended && !now.at(outgoing).dropped &&
+                       sent_stream.queued_bytes < max_queued_bytes;
     const std::uint32_t events = (reads ? EPOLLIN : 0U) | (writes ? EPOLLOUT : 0U);
-    // Nothing more can come from a side that has ended and been ended: its
-    // hang-up would be told for ever.
-    const bool done = here.gone || !here.socket || (sends.sender_ended && gets.end_forwarded);
-    const int fd = here.socket.get();
-    if (done && here.watched) {
+    // A side whose two directions have ended has no further events, except a hang-up that epoll would report
+    // forever.
+    const bool done =
+        end.broken || !end.socket || (sent_stream.sender_ended && received_stream.end_forwarded);
+    const int fd = end.socket.get();
+    if (done && end.watched) {
         loop_.forget(fd);
-        here.watched = false;
-    } else if (!done && here.watched) {
+        end.watched = false;
+    } else if (!done && end.watched) {
         loop_.change(fd, events);
     } else if (!done) {
-        here.watched = true;
-        loop_.watch(fd, events, [this, tag = of.tag, near](std::uint32_t came_events) {
-            on_events(tag, near, came_events);
+        end.watched = true;
+        loop_.watch(fd, events, [this, tag = connection.tag, near](std::uint32_t ready_events) {
+            on_events(tag, near, ready_events);
         });
     }
 }
@@ -163,198 +164,200 @@
     const auto found = connections_.find(tag);
     if (found == connections_.end())
         return;
-    proxied_connection &of = *found->second;
-    side &here = near ? of.near : of.far;
-    const direction out = near ? direction::forward : direction::backward;
-    const bool broke = (events & (EPOLLERR | EPOLLHUP)) != 0;
-    if (here.connecting)
-        return on_connected(of);
-    if (broke && table_.conditions(of.of).at(out).dropped) { // nobody can be told now
-        here.gone = true;
-        return update_interest(of);
+    proxied_connection &connection = *found->second;
+    side &end = near ? connection.near : connection.far;
+    const direction outgoing = near ? direction::forward : direction::backward;
+    const bool hung_up = (events & (EPOLLERR | EPOLLHUP)) != 0;
+    if (end.connecting)
+        return on_connected(connection);
+    if (hung_up &&
+        table_.conditions(connection.id).at(outgoing).dropped) { // the other end cannot be notified now
+        end.broken = true;
+        return update_interest(connection);
     }
-    // A full direction is not read: without this its reset would be reported by
-    // each epoll_wait.
+    // A direction with a full queue is not read, so that each epoll_wait would report its reset again.
     if ((events & EPOLLERR) != 0)
         return finish(tag, !near, near);
-    if ((events & EPOLLIN) != 0 || broke)
-        read_from_sender(of, out);
+    if ((events & EPOLLIN) != 0 || hung_up)
+        read_from_sender(connection, outgoing);
     if (connections_.contains(tag) && (events & EPOLLOUT) != 0)
         write_to_receiver(tag, near ? direction::backward : direction::forward);
 }
 
-// The connection to the far end is up, or has failed.
-void relay::on_connected(proxied_connection &of) {
+// Called when the connection to the far end is established or has failed.
+void relay::on_connected(proxied_connection &connection) {
     int failed = 0;
     socklen_t size = sizeof failed;
-    getsockopt(of.far.socket.get(), SOL_SOCKET, SO_ERROR, &failed, &size);
+    getsockopt(connection.far.socket.get(), SOL_SOCKET, SO_ERROR, &failed, &size);
     if (failed != 0)
-        return finish(of.tag, true, false);
-    of.far.connecting = false;
-    const auto tag = of.tag;
+        return finish(connection.tag, true, false);
+    connection.far.connecting = false;
+    const auto tag = connection.tag;
     write_to_receiver(tag, direction::forward);
     if (connections_.contains(tag))
-        update_interest(of);
+        update_interest(connection);
 }
 
-// When bytes that were read now may be written: after the delay, at the link's
-// rate, and in their order.
-double relay::due_time(const proxied_connection &of, direction to, std::size_t bytes) {
-    const direction_conditions &conditions = table_.conditions(of.of).at(to);
+// The time from which bytes that were just read may be written: after the delay, at the link's rate, and in
+// order.
+double relay::due_time(const proxied_connection &connection, direction flow, std::size_t bytes) {
+    const direction_conditions &conditions = table_.conditions(connection.id).at(flow);
     const double now = loop_.clock.now();
-    const double wire =
+    const double transfer_time =
         conditions.bytes_per_second > 0 ? static_cast<double>(bytes) / conditions.bytes_per_second : 0;
     const double jitter = conditions.jitter > 0 ? conditions.jitter * random_.uniform() : 0;
-    const double last_due = of.streams[static_cast<int>(to)].last_due;
-    return std::max({now + conditions.delay + jitter, last_due + wire, now + wire});
+    const double last_due = connection.streams[static_cast<int>(flow)].last_due;
+    return std::max({now + conditions.delay + jitter, last_due + transfer_time, now + transfer_time});
 }
 
-void relay::read_from_sender(proxied_connection &of, direction to) {
-    const auto tag = of.tag;
-    side &from = to == direction::forward ? of.near : of.far;
-    byte_stream &into = of.streams[static_cast<int>(to)];
-    std::array<char, read_size> part;
-    while (!into.sender_ended && into.queued_bytes < max_queued_bytes) {
-        const long got = as_number(read_some(from.socket, part.data(), part.size()));
-        if (got == -2)
+void relay::read_from_sender(proxied_connection &connection, direction flow) {
+    const auto tag = connection.tag;
+    side &sender = flow == direction::forward ? connection.near : connection.far;
+    byte_stream &stream = connection.streams[static_cast<int>(flow)];
+    std::array<char, read_size> buffer;
+    while (!stream.sender_ended && stream.queued_bytes < max_queued_bytes) {
+        const long received = as_number(read_some(sender.socket, buffer.data(), buffer.size()));
+        if (received == -2)
             break;
-        if (got < 0)
-            return finish(tag, to == direction::backward, to == direction::forward);
+        if (received < 0)
+            return finish(tag, flow == direction::backward, flow == direction::forward);
         const double now = loop_.clock.now();
-        const double due = due_time(of, to, static_cast<std::size_t>(got));
-        into.last_due = due;
-        if (got == 0)
-            into.sender_ended = true;
-        else if (!of.far_end_dead || to != direction::forward) { // what goes to the dead is gone
-            into.chunks.push_back({due, std::string(part.data(), static_cast<std::size_t>(got))});
-            into.queued_bytes += static_cast<std::size_t>(got);
+        const double due = due_time(connection, flow, static_cast<std::size_t>(received));
+        stream.last_due = due;
+        if (received == 0)
+            stream.sender_ended = true;
+        else if (!connection.far_end_dead ||
+                 flow != direction::forward) { // bytes to a dead far end are dropped
+            stream.chunks.push_back({due, std::string(buffer.data(), static_cast<std::size_t>(received))});
+            stream.queued_bytes += static_cast<std::size_t>(received);
         }
         if (due > now)
-            loop_.clock.at(due, [this, here = std::weak_ptr(lifetime_), tag, to] {
-                if (!here.expired())
-                    write_to_receiver(tag, to);
+            loop_.clock.at(due, [this, lifetime = std::weak_ptr(lifetime_), tag, flow] {
+                if (!lifetime.expired())
+                    write_to_receiver(tag, flow);
             });
     }
-    write_to_receiver(tag, to);
+    write_to_receiver(tag, flow);
 }
 
-void relay::write_to_receiver(std::uint64_t tag, direction to) {
+void relay::write_to_receiver(std::uint64_t tag, direction flow) {
     const auto found = connections_.find(tag);
     if (found == connections_.end())
         return;
-    proxied_connection &of = *found->second;
-    side &into = to == direction::forward ? of.far : of.near;
-    byte_stream &from = of.streams[static_cast<int>(to)];
+    proxied_connection &connection = *found->second;
+    side &receiver = flow == direction::forward ? connection.far : connection.near;
+    byte_stream &stream = connection.streams[static_cast<int>(flow)];
     const double now = loop_.clock.now();
-    while (!from.chunks.empty() && from.chunks.front().due <= now && !into.connecting && !into.gone &&
-           !table_.conditions(of.of).at(to).dropped) {
-        auto &next = from.chunks.front();
-        const auto wrote =
-            ::send(into.socket.get(), next.bytes.data(), next.bytes.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
-        if (wrote < 0 && (errno == EAGAIN || errno == EWOULDBLOCK))
+    while (!stream.chunks.empty() && stream.chunks.front().due <= now && !receiver.connecting &&
+           !receiver.broken && !table_.conditions(connection.id).at(flow).dropped) {
+        auto &next = stream.chunks.front();
+        const auto written =
+            ::send(receiver.socket.get(), next.bytes.data(), next.bytes.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
+        if (written < 0 && (errno == EAGAIN || errno == EWOULDBLOCK))
             break;
-        if (wrote <= 0)
-            return finish(tag, to == direction::forward, to == direction::backward);
-        forwarded_bytes_ += static_cast<std::uint64_t>(wrote);
-        from.queued_bytes -= static_cast<std::size_t>(wrote);
-        next.bytes.erase(0, static_cast<std::size_t>(wrote));
+        if (written <= 0)
+            return finish(tag, flow == direction::forward, flow == direction::backward);
+        forwarded_bytes_ += static_cast<std::uint64_t>(written);
+        stream.queued_bytes -= static_cast<std::size_t>(written);
+        next.bytes.erase(0, static_cast<std::size_t>(written));
         if (next.bytes.empty())
-            from.chunks.pop_front();
+            stream.chunks.pop_front();
     }
-    forward_end(of, to);
-    if (of.streams[0].end_forwarded && of.streams[1].end_forwarded)
+    forward_end(connection, flow);
+    if (connection.streams[0].end_forwarded && connection.streams[1].end_forwarded)
         return finish(tag, false, false);
-    update_interest(of);
+    update_interest(connection);
 }
 
-// Ends the receiver's half once the sender's has ended and all that it sent was
-// written.
-void relay::forward_end(proxied_connection &of, direction to) {
-    const side &into = to == direction::forward ? of.far : of.near;
-    byte_stream &from = of.streams[static_cast<int>(to)];
-    const bool all_written = from.chunks.empty() && from.last_due <= loop_.clock.now();
-    const bool reachable = !into.connecting && !table_.conditions(of.of).at(to).dropped && !of.far_end_dead;
-    if (!from.sender_ended || from.end_forwarded || !all_written || !reachable)
+// Shuts down the receiver's connection for writing once the sender has ended and all its bytes are written.
+void relay::forward_end(proxied_connection &connection, direction flow) {
+    const side &receiver = flow == direction::forward ? connection.far : connection.near;
+    byte_stream &stream = connection.streams[static_cast<int>(flow)];
+    const bool all_written = stream.chunks.empty() && stream.last_due <= loop_.clock.now();
+    const bool reachable = !receiver.connecting && !table_.conditions(connection.id).at(flow).dropped &&
+                           !connection.far_end_dead;
+    if (!stream.sender_ended || stream.end_forwarded || !all_written || !reachable)
         return;
-    from.end_forwarded = true;
-    ::shutdown(into.socket.get(), SHUT_WR);
+    stream.end_forwarded = true;
+    ::shutdown(receiver.socket.get(), SHUT_WR);
 }
 
 void relay::finish(std::uint64_t tag, bool reset_near, bool reset_far) {
     const auto found = connections_.find(tag);
     if (found == connections_.end())
         return;
-    const auto of = std::move(found->second);
+    const auto connection = std::move(found->second);
     connections_.erase(found);
-    for (side *one : {&of->near, &of->far})
-        if (one->watched)
-            loop_.forget(one->socket.get());
+    for (side *end : {&connection->near, &connection->far})
+        if (end->watched)
+            loop_.forget(end->socket.get());
     if (reset_near)
-        reset_on_close(of->near.socket);
-    if (reset_far && of->far.socket)
-        reset_on_close(of->far.socket);
+        reset_on_close(connection->near.socket);
+    if (reset_far && connection->far.socket)
+        reset_on_close(connection->far.socket);
 }
 
-void relay::on_conditions_changed(const link_id &which, const link_conditions &before,
+void relay::on_conditions_changed(const link_id &id, const link_conditions &before,
                                   const link_conditions &now) {
-    const auto known = links_.find(key(which));
-    if (known == links_.end())
+    const auto found = links_.find(key(id));
+    if (found == links_.end())
         return;
-    update_listener(known->second);
+    update_listener(found->second);
     std::vector<std::uint64_t> tags;
-    for (const auto &[tag, each] : connections_)
-        if (each->of == which)
+    for (const auto &[tag, connection] : connections_)
+        if (connection->id == id)
             tags.push_back(tag);
     for (const auto tag : tags)
         apply_conditions(tag, before, now);
 }
 
 void relay::apply_conditions(std::uint64_t tag, const link_conditions &before, const link_conditions &now) {
-    proxied_connection &of = *connections_.at(tag);
+    proxied_connection &connection = *connections_.at(tag);
     if (now.resets)
         return finish(tag, true, true);
     if (now.half_open && !before.half_open)
-        kill_far_end(of);
-    if (before.half_open && !now.half_open && of.far_end_dead)
+        kill_far_end(connection);
+    if (before.half_open && !now.half_open && connection.far_end_dead)
         return finish(tag, true, false);
-    if (of.far_end_dead)
-        return update_interest(of);
-    resume(of, before, now);
+    if (connection.far_end_dead)
+        return update_interest(connection);
+    resume(connection, before, now);
 }
 
-// The far end gets a reset; what was on its way is gone, and the near end hears
-// of nothing.
-void relay::kill_far_end(proxied_connection &of) {
-    of.far_end_dead = true;
-    if (of.far.watched)
-        loop_.forget(of.far.socket.get());
-    of.far.watched = false;
-    of.far.gone = true;
-    reset_on_close(of.far.socket);
-    of.far.socket.close();
-    for (auto &each : of.streams) {
-        each.chunks.clear();
-        each.queued_bytes = 0;
+// Resets the far end's connection and drops the queued bytes; the near end is not notified.
+void relay::kill_far_end(proxied_connection &connection) {
+    connection.far_end_dead = true;
+    if (connection.far.watched)
+        loop_.forget(connection.far.socket.get());
+    connection.far.watched = false;
+    connection.far.broken = true;
+    reset_on_close(connection.far.socket);
+    connection.far.socket.close();
+    for (auto &stream : connection.streams) {
+        stream.chunks.clear();
+        stream.queued_bytes = 0;
     }
-    of.streams[static_cast<int>(direction::backward)].sender_ended = true; // nothing comes from it any more
+    connection.streams[static_cast<int>(direction::backward)].sender_ended =
+        true; // the far end sends nothing more
 }
 
-// Goes on with what was queued. A sender that has ended while its direction was
-// dropped takes it with it.
-void relay::resume(proxied_connection &of, const link_conditions &before, const link_conditions &now) {
-    const auto tag = of.tag;
-    const auto sender_lost = [&](direction to, const side &from) {
-        const bool reopened = before.at(to).dropped && !now.at(to).dropped;
-        return reopened && (from.gone || peer_has_ended(from.socket));
+// Forwards the queued bytes. If the sender has ended while its direction was dropped, ends the connection
+// instead.
+void relay::resume(proxied_connection &connection, const link_conditions &before,
+                   const link_conditions &now) {
+    const auto tag = connection.tag;
+    const auto sender_lost = [&](direction flow, const side &sender) {
+        const bool reopened = before.at(flow).dropped && !now.at(flow).dropped;
+        return reopened && (sender.broken || peer_has_ended(sender.socket));
     };
-    const bool near_lost = sender_lost(direction::forward, of.near);
-    const bool far_lost = sender_lost(direction::backward, of.far);
+    const bool near_lost = sender_lost(direction::forward, connection.near);
+    const bool far_lost = sender_lost(direction::backward, connection.far);
     if (near_lost || far_lost)
         return finish(tag, far_lost, near_lost);
     write_to_receiver(tag, direction::forward);
     write_to_receiver(tag, direction::backward);
     if (connections_.contains(tag))
-        update_interest(of);
+        update_interest(connection);
 }
 
 } // namespace harrierpass::testbed
--- a/src/testbed/links/socket_controls.cpp
+++ b/src/testbed/links/socket_controls.cpp
@@ -10,8 +10,8 @@
 namespace harrierpass::testbed {
 
 void reset_on_close(const tcp_socket &socket) {
-    const linger none_left{1, 0};
-    setsockopt(socket.get(), SOL_SOCKET, SO_LINGER, &none_left, sizeof none_left);
+    const linger zero_timeout{1, 0};
+    setsockopt(socket.get(), SOL_SOCKET, SO_LINGER, &zero_timeout, sizeof zero_timeout);
 }
 
 bool peer_has_ended(const tcp_socket &socket) {
@@ -22,14 +22,15 @@
 }
 
 void set_drop_filter(const tcp_socket &listener, bool drops) {
-    sock_filter nothing{BPF_RET | BPF_K, 0, 0, 0};
-    const sock_fprog all{1, &nothing};
+    sock_filter drop_all{BPF_RET | BPF_K, 0, 0, 0};
+    const sock_fprog program{1, &drop_all};
     const int unused = 0;
-    const int failed = drops
-                           ? setsockopt(listener.get(), SOL_SOCKET, SO_ATTACH_FILTER, &all, sizeof all)
-                           : setsockopt(listener.get(), SOL_SOCKET, SO_DETACH_FILTER, &unused, sizeof unused);
+    const int failed =
+        drops ? setsockopt(listener.get(), SOL_SOCKET, SO_ATTACH_FILTER, &program, sizeof program)
+              : setsockopt(listener.get(), SOL_SOCKET, SO_DETACH_FILTER, &unused, sizeof unused);
     if (failed != 0)
-        throw std::system_error(errno, std::generic_category(), "cannot drop what connects to a link");
+        throw std::system_error(errno, std::generic_category(),
+                                "cannot change the drop filter of a link's listener");
 }
 
 } // namespace harrierpass::testbed
--- a/tests/testbed/links/virtual_links_test.cpp
+++ b/tests/testbed/links/virtual_links_test.cpp
@@ -8,30 +8,30 @@
 namespace {
 
 constexpr link_id link_to_server{link_kind::proxy_server, 0, 0};
-constexpr double latency = 0.01; // s
+constexpr double latency = 0.01; // seconds
 constexpr std::size_t message_bytes = 500;
 
-// One proxy and one server in virtual time, with one fault of the link between them.
+// One proxy and one server in virtual time, with one link fault.
 struct fixture {
     explicit fixture(const std::string &fault_text)
-        : given(parse_experiment("[fleet]\nservers = 1\n[proxies]\ncount = 1\n" + fault_text +
-                                     request_class("lookup"),
-                                 "links.toml")),
-          table(given, 1, 1), links(clock, table, 1) {
-        table.on_change = [this](const link_id &which, const link_conditions &before,
+        : settings(parse_experiment("[fleet]\nservers = 1\n[proxies]\ncount = 1\n" + fault_text +
+                                        request_class("lookup"),
+                                    "links.toml")),
+          table(settings, 1, 1), links(clock, table, 1) {
+        table.on_change = [this](const link_id &id, const link_conditions &before,
                                  const link_conditions &now) {
-            links.on_conditions_changed(which, before, now);
+            links.on_conditions_changed(id, before, now);
         };
     }
-    // Sends a message whose arrival time, s, is appended to `arrivals`.
-    void send(const link_id &on, direction to, const std::function<bool()> &sender_connected = {}) {
+    // Sends a message, whose arrival time in seconds is appended to `arrivals`.
+    void send(const link_id &id, direction flow, const std::function<bool()> &sender_connected = {}) {
         links.carry(
-            on, to, latency, message_bytes, [this] { arrivals.push_back(clock.now()); }, sender_connected);
+            id, flow, latency, message_bytes, [this] { arrivals.push_back(clock.now()); }, sender_connected);
     }
     void run_until(double when) { clock.advance(when, true); }
 
     timeline clock;
-    experiment given;
+    experiment settings;
     link_table table;
     virtual_links links;
     std::vector<double> arrivals;
@@ -39,7 +39,7 @@
 
 } // namespace
 
-TEST_CASE("a message over a link without a fault takes the latency alone") {
+TEST_CASE("a message over an unimpaired link arrives after the latency") {
     fixture test(link_fault("drop", "between = [\"proxy-server\"]\n"));
     test.send(link_to_server, direction::forward);
     test.send({link_kind::proxy_list, 0, 0}, direction::forward); // not in the table
@@ -49,7 +49,7 @@
     CHECK(test.arrivals[1] == doctest::Approx(latency));
 }
 
-TEST_CASE("a slow link adds its delay and the time that the bytes take") {
+TEST_CASE("a slow link adds its delay and the transfer time of the message") {
     fixture test(link_fault("slow", "between = [\"proxy-server\"]\ndelay = \"100ms\"\npace = 1000\n"));
     test.table.apply(0, true);
     test.send(link_to_server, direction::backward);
@@ -58,7 +58,7 @@
     CHECK(test.arrivals[0] == doctest::Approx(latency + 0.1 + 0.5));
 }
 
-TEST_CASE("a dropped direction queues messages until it is up again; the other one goes on") {
+TEST_CASE("a dropped direction queues messages until the fault ends; the other direction delivers them") {
     fixture test(link_fault("one_way", "between = [\"proxy-server\"]\ndirection = \"back\"\n"));
     test.table.apply(0, true);
     CHECK(!test.links.can_connect(link_to_server));
@@ -74,7 +74,7 @@
     CHECK(test.arrivals[1] == doctest::Approx(2 + latency));
 }
 
-TEST_CASE("a queued message whose sender's connection has ended is dropped") {
+TEST_CASE("a queued message is dropped if its sender's connection has ended") {
     fixture test(link_fault("drop", "between = [\"proxy-server\"]\n"));
     test.table.apply(0, true);
     test.send(link_to_server, direction::forward, [] { return false; });
