--- a/src/testbed/loop/channel.cpp
+++ b/src/testbed/loop/channel.cpp
@@ -10,30 +10,30 @@
 
 namespace harrierpass::testbed {
 
-address ipv4(std::uint32_t where, int port) {
-    address made;
-    auto *const to = reinterpret_cast<sockaddr_in *>(&made.storage);
-    to->sin_family = AF_INET;
-    to->sin_addr.s_addr = htonl(where);
-    to->sin_port = htons(static_cast<std::uint16_t>(port));
-    made.size = sizeof(sockaddr_in);
-    return made;
+address ipv4(std::uint32_t host, int port) {
+    address result;
+    auto *const ipv4_address = reinterpret_cast<sockaddr_in *>(&result.storage);
+    ipv4_address->sin_family = AF_INET;
+    ipv4_address->sin_addr.s_addr = htonl(host);
+    ipv4_address->sin_port = htons(static_cast<std::uint16_t>(port));
+    result.size = sizeof(sockaddr_in);
+    return result;
 }
 
-int port_of(const address &of) {
-    return ntohs(reinterpret_cast<const sockaddr_in *>(&of.storage)->sin_port);
+int port_of(const address &socket_address) {
+    return ntohs(reinterpret_cast<const sockaddr_in *>(&socket_address.storage)->sin_port);
 }
 
-tcp_socket start_connecting(const address &to) {
-    tcp_socket made(::socket(to.storage.ss_family, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
-    if (!made)
-        return made;
-    const int on = 1;
-    setsockopt(made.get(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-    if (::connect(made.get(), reinterpret_cast<const sockaddr *>(&to.storage), to.size) != 0 &&
+tcp_socket start_connecting(const address &remote) {
+    tcp_socket socket(::socket(remote.storage.ss_family, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
+    if (!socket)
+        return socket;
+    const int enabled = 1;
+    setsockopt(socket.get(), IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
+    if (::connect(socket.get(), reinterpret_cast<const sockaddr *>(&remote.storage), remote.size) != 0 &&
         errno != EINPROGRESS)
-        made.close();
-    return made;
+        socket.close();
+    return socket;
 }
 
 channel::~channel() {
@@ -43,40 +43,41 @@
 void channel::start(bool connecting) {
     connecting_ = connecting;
     loop_.watch(socket_.get(), EPOLLIN | (connecting ? EPOLLOUT : 0U),
-                [self = weak_from_this()](std::uint32_t events) {
-                    if (const auto here = self.lock())
-                        here->on_events(events);
+                [weak_self = weak_from_this()](std::uint32_t events) {
+                    if (const auto self = weak_self.lock())
+                        self->on_events(events);
                 });
 }
 
 void channel::update_interest() {
-    if (socket_ && !peer_gone_)
+    if (socket_ && !peer_closed_)
         loop_.change(socket_.get(),
-                     frozen_ ? EPOLLRDHUP : EPOLLIN | (connecting_ || !out_.empty() ? EPOLLOUT : 0U));
+                     frozen_ ? EPOLLRDHUP : EPOLLIN | (connecting_ || !output_.empty() ? EPOLLOUT : 0U));
 }
 
 void channel::set_frozen(bool frozen) {
     frozen_ = frozen;
-    if (peer_gone_ && !frozen_ && socket_)
+    if (peer_closed_ && !frozen_ && socket_)
         return end_by_peer(ending::closed);
     update_interest();
 }
 
 void channel::send(std::string_view text) {
-    out_ += text;
+    output_ += text;
     if (!connecting_ && !frozen_)
         write();
 }
 
 void channel::write() {
-    while (socket_ && !out_.empty()) {
-        const auto wrote = ::send(socket_.get(), out_.data(), out_.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
-        if (wrote < 0 && (errno == EAGAIN || errno == EWOULDBLOCK))
+    while (socket_ && !output_.empty()) {
+        const auto written =
+            ::send(socket_.get(), output_.data(), output_.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
+        if (written < 0 && (errno == EAGAIN || errno == EWOULDBLOCK))
             return update_interest();
-        if (wrote <= 0)
+        if (written <= 0)
             return end_by_peer(ending::reset);
-        out_.erase(0, static_cast<std::size_t>(wrote));
-        if (out_.empty())
+        output_.erase(0, static_cast<std::size_t>(written));
+        if (output_.empty())
             update_interest();
     }
 }
@@ -84,41 +85,41 @@
 void channel::end(bool reset) {
     if (!socket_)
         return;
-    if (!peer_gone_)
+    if (!peer_closed_)
         loop_.forget(socket_.get());
     if (reset) {
-        const linger none_left{1, 0};
-        setsockopt(socket_.get(), SOL_SOCKET, SO_LINGER, &none_left, sizeof none_left);
+        const linger zero_timeout{1, 0};
+        setsockopt(socket_.get(), SOL_SOCKET, SO_LINGER, &zero_timeout, sizeof zero_timeout);
     }
     socket_.close();
-    // The reader may be in use further up the stack: a message's owner ends its connection from within.
+    // Keeps the reader: on_message may have called end() while read() still uses it.
 }
 
-void channel::end_by_peer(ending how) {
+void channel::end_by_peer(ending cause) {
     if (!socket_)
         return;
     const auto self = shared_from_this();
     end(false);
-    if (const auto call = on_end)
-        call(self, how);
+    if (const auto callback = on_end)
+        callback(self, cause);
 }
 
 void channel::on_events(std::uint32_t events) {
     const auto self = shared_from_this();
-    if (frozen_) { // errors are told whatever is asked for
-        if ((events & (EPOLLRDHUP | EPOLLERR | EPOLLHUP)) == 0 || peer_gone_)
+    if (frozen_) { // epoll reports errors regardless of the registered events
+        if ((events & (EPOLLRDHUP | EPOLLERR | EPOLLHUP)) == 0 || peer_closed_)
             return;
-        peer_gone_ = true;
+        peer_closed_ = true;
         loop_.forget(socket_.get());
         if (on_peer_closed_while_frozen)
             on_peer_closed_while_frozen(self);
         return;
     }
     if (connecting_ && (events & (EPOLLOUT | EPOLLERR | EPOLLHUP)) != 0) {
-        int failed = 0;
-        socklen_t size = sizeof failed;
-        getsockopt(socket_.get(), SOL_SOCKET, SO_ERROR, &failed, &size);
-        if (failed != 0)
+        int error = 0;
+        socklen_t size = sizeof error;
+        getsockopt(socket_.get(), SOL_SOCKET, SO_ERROR, &error, &size);
+        if (error != 0)
             return end_by_peer(ending::failed);
         connecting_ = false;
         update_interest();
@@ -136,25 +137,25 @@
             reader_ = std::make_unique<http_reader>(std::span(buffer_.get(), buffer_size), reads_);
         }
         auto state = http_reader::state::incomplete;
-        const long got =
+        const long received =
             as_number(read_some(socket_, reader_->free_space().data(), reader_->free_space().size()));
-        if (got == -2) {
+        if (received == -2) {
             if (!reader_->has_begun()) {
                 reader_.reset();
                 buffer_.reset();
             }
             return;
         }
-        if (got > 0) {
+        if (received > 0) {
             partial_message_ = true;
-            state = reader_->received(static_cast<std::size_t>(got));
+            state = reader_->received(static_cast<std::size_t>(received));
         } else {
-            state = got == 0 ? reader_->on_peer_closed() : http_reader::state::truncated;
+            state = received == 0 ? reader_->on_peer_closed() : http_reader::state::truncated;
         }
         if (state == http_reader::state::incomplete)
             continue;
         if (state == http_reader::state::truncated)
-            return end_by_peer(got == 0 ? ending::closed : ending::reset);
+            return end_by_peer(received == 0 ? ending::closed : ending::reset);
         if (state != http_reader::state::complete)
             return end_by_peer(ending::malformed);
         while (state == http_reader::state::complete) {
@@ -163,11 +164,11 @@
             on_message(shared_from_this(), *reader_);
             if (!socket_)
                 return;
-            const std::string rest(reader_->pipelined_bytes());
-            std::memcpy(buffer_.get(), rest.data(), rest.size());
-            reader_ =
-                std::make_unique<http_reader>(std::span(buffer_.get(), buffer_size), reads_, rest.size());
-            if (rest.empty()) {
+            const std::string pipelined(reader_->pipelined_bytes());
+            std::memcpy(buffer_.get(), pipelined.data(), pipelined.size());
+            reader_ = std::make_unique<http_reader>(std::span(buffer_.get(), buffer_size), reads_,
+                                                    pipelined.size());
+            if (pipelined.empty()) {
                 reader_.reset();
                 buffer_.reset();
                 break;
@@ -176,7 +177,7 @@
         }
         if (state != http_reader::state::complete && state != http_reader::state::incomplete)
             return end_by_peer(ending::malformed);
-        if (got == 0)
+        if (received == 0)
             return end_by_peer(ending::closed);
     }
 }
