--- a/tests/router/retry_policy_test.cpp
+++ b/tests/router/retry_policy_test.cpp
@@ -23,7 +23,7 @@
 // Endpoints 0 and 1 share a cell, endpoint 2 is in another cell of the same zone, endpoint 3 in another zone.
 endpoint_table make_endpoints() {
     endpoint_table table;
-    table.at_or_new(3_endpoint);
+    table.find_or_create(3_endpoint);
     for (endpoint_index endpoint{0}; endpoint < 4_endpoint; ++endpoint) {
         table[endpoint].info.zone = endpoint == 3_endpoint ? 1_zone : 0_zone;
         table[endpoint].info.cell = endpoint < 2_endpoint ? 0_cell : cell_index(endpoint.value());
