--- a/src/testbed/load/client_connections.cpp
+++ b/src/testbed/load/client_connections.cpp
@@ -44,7 +44,7 @@
 
 std::string client_connections::request_text(const client_request &query) const {
     const auto &use = experiment_.use_cases[query.use_case];
-    const std::string id = to_id(query.op, query.attempt);
+    const std::string id = to_request_id(query.op, query.attempt);
     std::string text = query.write ? "PUT /" : "GET /";
     text.append(use.name);
     if (query.keyed)
@@ -114,9 +114,9 @@
     double retry_after = 0;
     const auto wait = head.header("Retry-After");
     std::from_chars(wait.data(), wait.data() + wait.size(), retry_after);
-    const bool fits =
-        how != reply::completed ||
-        answer.body().find("\"query\":\"" + to_id(query.op, query.attempt) + "\"") != std::string_view::npos;
+    const bool fits = how != reply::completed ||
+                      answer.body().find("\"query\":\"" + to_request_id(query.op, query.attempt) + "\"") !=
+                          std::string_view::npos;
     const bool keeps = head.keeps_alive() && answer.pipelined_bytes().empty();
     // Guards the rule checker's sight: a second answer may come with the first in one read.
     if (!answer.pipelined_bytes().empty())
--- a/src/testbed/loop/loop.cpp
+++ b/src/testbed/loop/loop.cpp
@@ -15,8 +15,8 @@
 namespace harrierpass::testbed {
 namespace {
 
-constexpr int events_at_once = 256;
-constexpr double longest_wait = 0.05; // s between looks whether it is over
+constexpr int max_events_per_wait = 256;
+constexpr double max_wait = 0.05; // seconds; run() checks `is_done` at least this often
 
 } // namespace
 
@@ -40,20 +40,20 @@
     return offset_ + steady_now();
 }
 
-void loop::watch(int fd, std::uint32_t events, std::function<void(std::uint32_t)> what) {
-    entries_[fd] = {std::move(what), ++serial_};
-    epoll_event asks{};
-    asks.events = events;
-    asks.data.u64 = static_cast<std::uint64_t>(fd) | (serial_ << 32);
-    if (epoll_ctl(epoll_, EPOLL_CTL_ADD, fd, &asks) != 0)
+void loop::watch(int fd, std::uint32_t events, std::function<void(std::uint32_t)> on_event) {
+    entries_[fd] = {std::move(on_event), ++last_registration_};
+    epoll_event event{};
+    event.events = events;
+    event.data.u64 = static_cast<std::uint64_t>(fd) | (last_registration_ << 32);
+    if (epoll_ctl(epoll_, EPOLL_CTL_ADD, fd, &event) != 0)
         throw std::system_error(errno, std::generic_category(), "cannot watch a socket");
 }
 
 void loop::change(int fd, std::uint32_t events) {
-    epoll_event asks{};
-    asks.events = events;
-    asks.data.u64 = static_cast<std::uint64_t>(fd) | (entries_.at(fd).serial << 32);
-    epoll_ctl(epoll_, EPOLL_CTL_MOD, fd, &asks);
+    epoll_event event{};
+    event.events = events;
+    event.data.u64 = static_cast<std::uint64_t>(fd) | (entries_.at(fd).registration << 32);
+    epoll_ctl(epoll_, EPOLL_CTL_MOD, fd, &event);
 }
 
 void loop::forget(int fd) {
@@ -61,23 +61,23 @@
     entries_.erase(fd);
 }
 
-void loop::run(const std::function<bool()> &over) {
-    std::array<epoll_event, events_at_once> came{};
-    while (!over()) {
-        double wait = longest_wait;
+void loop::run(const std::function<bool()> &is_done) {
+    std::array<epoll_event, max_events_per_wait> ready{};
+    while (!is_done()) {
+        double wait = max_wait;
         if (!clock.empty())
             wait = std::min(wait, clock.next() - unix_now());
         timespec limit{0, wait > 0 ? static_cast<long>(wait * 1e9) : 0};
-        const int count = epoll_pwait2(epoll_, came.data(), events_at_once, &limit, nullptr);
+        const int count = epoll_pwait2(epoll_, ready.data(), max_events_per_wait, &limit, nullptr);
         clock.advance(unix_now(), false);
         for (int i = 0; i < count; ++i) {
-            const auto &each = came[static_cast<std::size_t>(i)];
-            const int fd = static_cast<int>(each.data.u64 & 0xffffffffU);
+            const auto &event = ready[static_cast<std::size_t>(i)];
+            const int fd = static_cast<int>(event.data.u64 & 0xffffffffU);
             const auto found = entries_.find(fd);
-            if (found == entries_.end() || (found->second.serial & 0xffffffffU) != each.data.u64 >> 32)
+            if (found == entries_.end() || (found->second.registration & 0xffffffffU) != event.data.u64 >> 32)
                 continue;
-            const auto what = found->second.what; // it may forget itself
-            what(each.events);
+            const auto on_event = found->second.on_event; // a copy: it may call forget()
+            on_event(event.events);
         }
     }
 }
--- a/src/testbed/loop/loop.hpp
+++ b/src/testbed/loop/loop.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// One thread that waits for many sockets and for timers: the testbed's side of a run on sockets. Its timeline
-// follows the machine's clock (Unix time), so that the same models run in it as in virtual time.
+// Event loop of a run on sockets: one thread that waits for sockets and timers. Its timeline follows the
+// machine's clock (Unix time), so that it runs the same models as in virtual time.
 #pragma once
 
 #include "testbed/model/timeline.hpp"
@@ -13,35 +13,36 @@
 // Single-threaded: all calls come from the thread that runs it.
 class loop {
 public:
-    // `offset`: of a loop in another process whose clock this one is to agree with; 0: of its own.
+    // `offset`: that of a loop in another process, to share its clock; 0: computes a new one.
     explicit loop(double offset = 0);
-    double offset() const { return offset_; } // Unix time less the machine's monotonic clock, s
+    double offset() const { return offset_; } // Unix time minus the monotonic clock, in seconds
     ~loop();
     loop(const loop &) = delete;
     loop &operator=(const loop &) = delete;
 
-    // Stands still while events are handled; exact() is the machine's time at the moment of the call, s.
+    // `clock` does not advance while an event is handled; precise_now() is the machine's time at the call, in
+    // seconds.
     timeline clock;
-    double exact() const { return unix_now(); }
+    double precise_now() const { return unix_now(); }
 
-    // Calls `what` with the epoll events that occurred. One entry a descriptor.
-    void watch(int fd, std::uint32_t events, std::function<void(std::uint32_t)> what);
+    // Calls `on_event` with the epoll events that occurred. A descriptor has at most one entry.
+    void watch(int fd, std::uint32_t events, std::function<void(std::uint32_t)> on_event);
     void change(int fd, std::uint32_t events);
-    void forget(int fd); // allowed within a callback; a pending callback for it is dropped
+    void forget(int fd); // allowed in a callback; drops pending events of the descriptor
 
-    // Handles events and timers until `over` returns true.
-    void run(const std::function<bool()> &over);
+    // Handles events and timers until `is_done` returns true.
+    void run(const std::function<bool()> &is_done);
 
 private:
     double unix_now() const;
-    // `serial` tells a descriptor from an earlier one of the same number.
+    // `registration` distinguishes a descriptor from an earlier one with the same number.
     struct entry {
-        std::function<void(std::uint32_t)> what;
-        std::uint64_t serial;
+        std::function<void(std::uint32_t)> on_event;
+        std::uint64_t registration;
     };
-    const double offset_; // Unix time less the steady clock's, s
+    const double offset_; // Unix time minus the steady clock, in seconds
     int epoll_;
-    std::uint64_t serial_ = 0;
+    std::uint64_t last_registration_ = 0;
     std::unordered_map<int, entry> entries_;
 };
 
--- a/src/testbed/model/cores.hpp
+++ b/src/testbed/model/cores.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Work on a number of cores, in the order in which it comes, as a model without I/O.
+// Model of a fixed number of CPU cores with a bounded first-in-first-out queue. Does no I/O.
 #pragma once
 
 #include "router/types.hpp"
@@ -11,32 +11,33 @@
 
 namespace harrierpass::testbed {
 
+// Cores of one server, or workers of one service. Not thread-safe.
 class cores {
 public:
-    cores(timeline &clock, index count, index queue) : clock_(clock), free_(count), max_queue_(queue) {}
-    // False: the queue is full. `work` returns the s that it takes, and is called when it begins; `then`
-    // follows its end.
-    bool take(std::function<double()> work, std::function<void()> then);
-    void stand(bool still); // while frozen nothing begins or ends
-    void clear();           // drops what runs or waits
-    std::size_t waiting() const { return queue_.size(); }
+    cores(timeline &clock, index count, index queue) : clock_(clock), count_(count), max_queue_(queue) {}
+    // Returns false if the queue is full. `work` is called when the work starts and returns its duration in
+    // seconds; `on_done` is called when it ends.
+    bool submit(std::function<double()> work, std::function<void()> on_done);
+    void set_frozen(bool frozen); // while frozen, no work starts or ends
+    void clear();                 // drops running and queued work
+    std::size_t queue_length() const { return queue_.size(); }
     index busy() const { return busy_; }
 
 private:
     struct item {
         std::function<double()> work;
-        std::function<void()> then;
+        std::function<void()> on_done;
     };
-    void start(item one);
-    void finish(std::uint64_t incarnation, const std::function<void()> &then);
+    void start(item entry);
+    void finish(std::uint64_t incarnation, const std::function<void()> &on_done);
 
     timeline &clock_;
-    index free_, busy_ = 0;
+    index count_, busy_ = 0;
     const std::size_t max_queue_;
     std::deque<item> queue_;
-    bool still_ = false;
+    bool frozen_ = false;
     std::uint64_t incarnation_ = 0;
-    std::deque<std::function<void()>> finished_while_frozen_; // ended while frozen
+    std::deque<std::function<void()>> finished_while_frozen_;
 };
 
 } // namespace harrierpass::testbed
--- a/src/testbed/model/experiment.cpp
+++ b/src/testbed/model/experiment.cpp
@@ -7,8 +7,8 @@
 namespace harrierpass::testbed {
 namespace {
 
-constexpr double max_poll_interval = 10; // s without a poll after which a list counts as told
-constexpr double stale_share = 0.3;      // of the servers in a stale list that are gone
+constexpr double max_poll_interval = 10; // seconds without a poll after which list changes count as notified
+constexpr double stale_share = 0.3;      // share of the servers in a stale list that are gone
 
 } // namespace
 
@@ -48,7 +48,7 @@
             .max_poll_interval = max_poll_interval};
 }
 
-// Spread evenly over the proxies by number, whatever their zone.
+// Spreads stale lists evenly over the proxies by number, regardless of zone.
 bool starts_with_stale_list(const experiment &settings, index proxy) {
     const double share = settings.proxies.stale_list_share;
     return settings.proxies.initial_list == initial_list_kind::stale &&
@@ -56,9 +56,9 @@
 }
 
 bool in_stale_list(const experiment &settings, index server) {
-    const auto gone = static_cast<index>(stale_share * settings.fleet.servers);
-    return server < settings.fleet.servers - gone ||
-           (server >= settings.fleet.servers && server < settings.fleet.servers + gone);
+    const auto removed = static_cast<index>(stale_share * settings.fleet.servers);
+    return server < settings.fleet.servers - removed ||
+           (server >= settings.fleet.servers && server < settings.fleet.servers + removed);
 }
 
 bool has_end(const fault_settings &fault) {
@@ -83,29 +83,31 @@
 }
 
 router_settings router_settings_for(const experiment &settings, index proxy) {
-    router_settings made;
+    router_settings router;
     for (const auto &use_case : settings.use_cases)
-        made.request_classes.push_back(use_case.routing);
+        router.request_classes.push_back(use_case.routing);
     for (const auto &tenant : settings.tenants)
-        made.tenant_quotas.push_back(tenant.quota_rps);
-    made.over_quota_weight_share = settings.proxies.over_quota_weight_share;
-    made.local_zone = zone_index(zone_of_proxy(settings, proxy));
-    made.proxy_count = settings.proxies.count;
-    made.proxy_index = proxy;
-    made.handshake_cost = settings.costs.handshake;
-    made.origin_fetch_cost = settings.costs.origin;
-    made.upstream_idle_timeout = settings.fleet.idle_timeout;
-    made.slow_start = settings.warm_up.routing;
-    made.origin_kind = settings.fleet.cache_aside ? kind_index(1) : none;
-    made.constraints.may_cancel = settings.proxies.may_cancel;
-    made.constraints.may_check_health = settings.proxies.may_check_health;
-    made.constraints.watch_required = true;
-    // As the proxy has it for a list that is polled (proxy/configuration.cpp).
-    const bool polls = settings.list.form == list_service_kind::central && !settings.proxies.shared_list;
-    made.constraints.max_poll_interval = polls ? list_response_timeout(settings.list) : max_poll_interval;
-    made.constraints.max_attempts = settings.proxies.max_attempts;
-    made.constraints.max_retry_after = settings.proxies.max_retry_after;
-    return made;
+        router.tenant_quotas.push_back(tenant.quota_rps);
+    router.over_quota_weight_share = settings.proxies.over_quota_weight_share;
+    router.local_zone = zone_index(zone_of_proxy(settings, proxy));
+    router.proxy_count = settings.proxies.count;
+    router.proxy_index = proxy;
+    router.handshake_cost = settings.costs.handshake;
+    router.origin_fetch_cost = settings.costs.origin;
+    router.upstream_idle_timeout = settings.fleet.idle_timeout;
+    router.slow_start = settings.warm_up.routing;
+    router.origin_kind = settings.fleet.cache_aside ? kind_index(1) : none;
+    router.constraints.may_cancel = settings.proxies.may_cancel;
+    router.constraints.may_check_health = settings.proxies.may_check_health;
+    router.constraints.watch_required = true;
+    // Same rule as the proxy's for a polled list (proxy/configuration.cpp).
+    const bool polls_central_service =
+        settings.list.form == list_service_kind::central && !settings.proxies.shared_list;
+    router.constraints.max_poll_interval =
+        polls_central_service ? list_response_timeout(settings.list) : max_poll_interval;
+    router.constraints.max_attempts = settings.proxies.max_attempts;
+    router.constraints.max_retry_after = settings.proxies.max_retry_after;
+    return router;
 }
 
 } // namespace harrierpass::testbed
--- a/src/testbed/model/experiment_layers.hpp
+++ b/src/testbed/model/experiment_layers.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// The layers of an experiment file: its base, the file itself, and its part [large]. A later layer replaces
-// single keys of an earlier one; lists are replaced as a whole.
+// Merges the layers of an experiment file: its base, the file itself, and its [large] part. A later layer
+// overrides single keys of an earlier one; lists are replaced as a whole.
 #pragma once
 
 #include <string>
@@ -8,8 +8,8 @@
 
 namespace harrierpass::testbed {
 
-// The file's table over that of the `base` it names, and its [large] part over both if `large`. `name` is
-// the file's path, beside which the base is looked for. Throws experiment_error or toml::parse_error.
+// Merges the file's table into that of its `base`, then the [large] part if `large` is set. `name` is the
+// file's path; the base's path is relative to its folder. Throws experiment_error or toml::parse_error.
 toml::table merge_experiment_layers(const std::string &text, const std::string &name, bool large);
 
 } // namespace harrierpass::testbed
--- a/src/testbed/model/experiment_names.cpp
+++ b/src/testbed/model/experiment_names.cpp
@@ -29,15 +29,15 @@
     for (const auto &[known, policy] : policy_names)
         if (name == known)
             return policy;
-    throw experiment_error("no decider is called " + name +
-                           ": module, whole_list, random, least_of_two, plain_ring");
+    throw experiment_error("unknown policy \"" + name +
+                           "\"; known are: module, whole_list, random, least_of_two, plain_ring");
 }
 
 injected_violation parse_injected_violation(const std::string &name) {
     for (const auto &[known, violation] : violation_names)
         if (name == known)
             return violation;
-    throw experiment_error("\"" + name + "\" is no plant");
+    throw experiment_error("unknown violation \"" + name + "\"");
 }
 
 } // namespace harrierpass::testbed
--- a/src/testbed/model/experiment_names.hpp
+++ b/src/testbed/model/experiment_names.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// The names that experiment files, command lines and results use for kinds of the experiment.
+// Names of the experiment's enumerators in experiment files, command lines and results.
 #pragma once
 
 #include "testbed/model/experiment.hpp"
@@ -10,7 +10,7 @@
 
 namespace harrierpass::testbed {
 
-// Directions in which a fault of a link holds, as its file names them.
+// Directions that a link fault affects.
 enum class link_directions : std::uint8_t { to_far_end, to_near_end, both };
 
 template <typename Kind, std::size_t Count>
--- a/src/testbed/model/experiment_reader.cpp
+++ b/src/testbed/model/experiment_reader.cpp
@@ -16,7 +16,7 @@
 namespace harrierpass::testbed {
 namespace {
 
-constexpr double default_timeout_factor = 3; // times the latency objective
+constexpr double default_timeout_factor = 3; // multiple of the latency objective
 constexpr double max_seed = 2147483647;
 
 void read_fleet(toml_section &section, fleet_settings &fleet) {
@@ -162,7 +162,7 @@
     target.push_back(std::move(variant));
 }
 
-// What describes the modelled world, without faults.
+// Reads all sections of the model, without faults.
 void read_model(toml_section &top, experiment &target) {
     top.table("fleet", [&](toml_section &section) { read_fleet(section, target.fleet); });
     top.table("origin", [&](toml_section &section) { read_origin(section, target.origin); });
@@ -227,10 +227,10 @@
 }
 
 experiment read_experiment(const std::string &path, bool large) {
-    std::ifstream in(path);
+    std::ifstream file(path);
     std::ostringstream text;
-    text << in.rdbuf();
-    if (!in)
+    text << file.rdbuf();
+    if (!file)
         throw experiment_error(path + ": cannot be read");
     return parse_experiment(text.str(), path, large);
 }
--- a/src/testbed/model/fault_reader.cpp
+++ b/src/testbed/model/fault_reader.cpp
@@ -13,7 +13,8 @@
 namespace harrierpass::testbed {
 namespace {
 
-// Seeds of the shares of servers and proxies, so that these are the same for every seed of the experiment.
+// Seeds of the choice of servers and proxies by share: constants, so that every seed of the experiment has
+// the same choice.
 constexpr std::uint32_t first_fault_seed = 101, first_link_fault_seed = 501;
 constexpr index max_steps = 1000;
 
@@ -21,7 +22,7 @@
 
 // Adds the numbers below `count` that belong to the zone.
 void add_zone(const toml_section &section, const std::string &key, const std::string &zone,
-              const experiment &settings, index count, zone_function zone_function_of,
+              const experiment &settings, index count, zone_function zone_by_number,
               std::vector<index> &numbers) {
     if (zone.empty())
         return;
@@ -30,7 +31,7 @@
     if (position == static_cast<std::ptrdiff_t>(zones.size()))
         section.refuse_key(key, "names none of the fleet's zones");
     for (index i = 0; i < count; ++i)
-        if (zone_function_of(settings, i) == static_cast<index>(position))
+        if (zone_by_number(settings, i) == static_cast<index>(position))
             numbers.push_back(i);
 }
 
@@ -73,20 +74,20 @@
         section.refuse_key("every", "needs a shorter `for`");
 }
 
-// Adds the fault, divided into as many steps over the given time (s).
+// Adds the fault, divided into `steps` faults over `over` seconds.
 void add_steps(const fault_settings &fault, index steps, double over, experiment &target) {
     if (steps == 1) {
         target.faults.push_back(fault);
         return;
     }
-    const auto &all = fault.servers.empty() ? fault.proxies : fault.servers;
-    const auto count = static_cast<index>(all.size());
+    const auto &targets = fault.servers.empty() ? fault.proxies : fault.servers;
+    const auto count = static_cast<index>(targets.size());
     for (index i = 0; i < steps; ++i) {
         fault_settings step = fault;
-        auto &some = fault.servers.empty() ? step.proxies : step.servers;
-        some.assign(all.begin() + i * count / steps, all.begin() + (i + 1) * count / steps);
+        auto &step_targets = fault.servers.empty() ? step.proxies : step.servers;
+        step_targets.assign(targets.begin() + i * count / steps, targets.begin() + (i + 1) * count / steps);
         step.at = fault.at + over * i / steps;
-        if (!some.empty())
+        if (!step_targets.empty())
             target.faults.push_back(std::move(step));
     }
 }
--- a/src/testbed/model/fault_reader.hpp
+++ b/src/testbed/model/fault_reader.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// Readers of [[fault]] and [[link]] of an experiment file. They need the fleet, the proxies, the use cases
-// and the tenants of the experiment, and add to it. Throw experiment_error for what cannot be used.
+// Readers of [[fault]] and [[link]] of an experiment file. They need the experiment's fleet, proxies, use
+// cases and tenants, and add the faults to it. Throw experiment_error for an invalid fault.
 #pragma once
 
 #include "testbed/model/experiment.hpp"
@@ -8,10 +8,10 @@
 
 namespace harrierpass::testbed {
 
-// Adds one fault; one that goes over its servers or proxies in steps becomes as many faults.
+// Adds one fault; a fault with steps becomes one fault for each step.
 void read_fault(toml_section &section, experiment &target);
 
-// Adds one fault of links.
+// Adds one link fault.
 void read_link_fault(toml_section &section, experiment &target);
 
 } // namespace harrierpass::testbed
--- a/src/testbed/model/fault_settings.hpp
+++ b/src/testbed/model/fault_settings.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// Faults that an experiment plays: of the model, of links, and of system calls. Times are in s since the
-// load began, but for system_fault_settings.
+// Faults of an experiment: of the model, of links, and of system calls. Times are in seconds since the start
+// of the load, except in system_fault_settings.
 #pragma once
 
 #include "router/types.hpp"
@@ -10,90 +10,91 @@
 
 namespace harrierpass::testbed {
 
-// What a fault does, and to whom; servers first, up to `flap`.
+// Kind of a fault. Faults of servers come first, up to `flap`.
 enum class fault_kind : std::uint8_t {
-    crash,         // a process dies and is started again when the fault ends (for = 0: never)
-    hang,          // open and new connections stay up and silent, work stands still
-    vanish,        // the machine says nothing; new connections never come up
-    slow,          // all its work takes `factor` times as long
-    errors,        // `factor` of its answers are quick errors, of one use case where that is named
-    malformed,     // `factor` of its answers cannot be read
-    one_way,       // requests come and run, responses are lost
-    drain,         // the list says so; after `for` the server is gone
-    join,          // a server that was not there before is started, cold
-    flap,          // the list leaves the server out and names it again, every half second
-    list_silent,   // nobody is notified of anything
-    list_stale,    // notifications are as old as the fault
-    origin_slow,   // `factor` times
-    origin_stop,   // nothing comes from it
-    burst,         // `factor` times the load
-    flood,         // a tenant's load is `factor` times
-    proxy_kill,    // killed outright and started again after `for`
-    proxy_pause,   // a proxy stands still
-    client_pause,  // clients stand still, then send what came due meanwhile
-    proxy_restart, // told to end, and started again, with another configuration, `for` after it has gone
-    proxy_end,     // told to end, for good
-    proxy_late,    // not there before
-    proxy_signals, // told to read its configuration again, several times at once
-    host_kill,     // a process of servers is killed outright and started again after `for`
-    host_stop,     // it stands still
-    list_kill,     // the list service is killed and started again
-    list_stop      // it stands still
+    crash,         // the process dies and is restarted when the fault ends (for = 0: never)
+    hang,          // open and new connections stay silent, work is suspended
+    vanish,        // the machine is unreachable; new connections time out
+    slow,          // all work takes `factor` times as long
+    errors,        // the share `factor` of responses are immediate errors; limited to `use_case` if set
+    malformed,     // the share `factor` of responses are malformed
+    one_way,       // requests arrive and are executed, responses are lost
+    drain,         // the list shows the server as draining; after `for` it is removed
+    join,          // a new server starts with an empty cache
+    flap,          // the list removes the server and adds it again, every half second
+    list_silent,   // the list service does not respond
+    list_stale,    // changes are published only after the fault's end
+    origin_slow,   // fetches take `factor` times as long
+    origin_stop,   // no fetch ends
+    burst,         // the load is multiplied by `factor`
+    flood,         // one tenant's load is multiplied by `factor`
+    proxy_kill,    // the proxy is killed, and restarted after `for`
+    proxy_pause,   // the proxy is suspended
+    client_pause,  // clients are suspended, then send the requests that came due meanwhile
+    proxy_restart, // planned stop, then a start with another configuration `for` after the end
+    proxy_end,     // planned stop without a restart
+    proxy_late,    // the proxy starts only now
+    proxy_signals, // several reload signals at once
+    host_kill,     // a worker process of servers is killed, and restarted after `for`
+    host_stop,     // a worker process of servers is suspended
+    list_kill,     // the list service is killed, and restarted after `for`
+    list_stop      // the list service is suspended
 };
 
 // A fault of servers, proxies, the list, the origin or the load.
 struct fault_settings {
     fault_kind kind = fault_kind::crash;
-    double at = 0, lasts = 0;   // s
-    double every = 0;           // s from one beginning to the next; 0: once
-    std::vector<index> servers; // numbers, also of those that join
-    std::vector<index> proxies; // numbers
-    std::vector<index> hosts;   // numbers of servers' processes
+    double at = 0, lasts = 0;   // seconds
+    double every = 0;           // seconds between the beginnings of a repeated fault; 0: once
+    std::vector<index> servers; // by number, including those that join
+    std::vector<index> proxies; // by number
+    std::vector<index> hosts;   // worker processes of servers, by number
     index use_case = none, tenant = none;
     double factor = 1;
 };
 
-// The ends that connections and datagrams run between. The near end connects.
+// Kinds of the two ends of a link. The near end opens the connections.
 enum class link_kind : std::uint8_t { client_proxy, proxy_server, proxy_list, proxy_proxy };
 
-// What a fault of a link does.
+// Kind of a link fault.
 enum class link_fault_kind : std::uint8_t {
-    drop,      // silent: what is sent is delayed, new connections never come up
-    one_way,   // the same in one direction only
-    reset,     // connections break at both ends; for as long as it lasts new ones break at once
-    half_open, // the far end's connections break unseen by the near end, which hears nothing until the end
-    slow,      // `delay` and `jitter` more, and a `pace`
-    datagrams, // parts of them are `lost`, `doubled`, `reordered`
-    partition  // all that crosses the border of a group is dropped
+    drop,      // without a sign: bytes sent are delayed, new connections time out
+    one_way,   // as `drop`, in one direction only
+    reset,     // connections are reset at both ends, also new ones while the fault lasts
+    half_open, // the far end's connections are reset; the near end notices nothing until the fault ends
+    slow,      // adds `delay` and `jitter`, and limits the rate
+    datagrams, // shares of the datagrams are lost, duplicated or reordered
+    partition  // drops all traffic between a group and the other ends
 };
 
-// A fault of connections or datagrams between two kinds of ends.
+// A link fault: of connections or datagrams between two kinds of ends.
 struct link_fault_settings {
     link_fault_kind kind = link_fault_kind::drop;
-    double at = 0, lasts = 0, every = 0; // s, as a fault's
-    std::vector<link_kind> between;      // empty: all
-    std::vector<index> proxies, servers; // the ends that it touches, or the group's; empty: all (group: none)
-    double share = 1;                    // of the pairs, by the run's seed
-    bool to_far_end = true, to_near_end = true; // directions: from the near end, from the far end
-    bool list = false;                          // is in the group, too
-    bool clients = false;                       // are cut off from the group's proxies, too
-    double delay = 0, jitter = 0;               // s
-    double bytes_per_second = 0;                // bytes a second; 0: any
+    double at = 0, lasts = 0, every = 0; // seconds, as in fault_settings
+    std::vector<link_kind> between;      // empty: all kinds
+    // Affected ends, or the group of a partition; empty: all (partition: none).
+    std::vector<index> proxies, servers;
+    double share = 1;                           // share of the affected links, chosen by the run's seed
+    bool to_far_end = true, to_near_end = true; // affected directions
+    bool list = false;                          // partition: the list service is in the group
+    bool clients = false;                       // partition: clients are cut off from the group's proxies
+    double delay = 0, jitter = 0;               // seconds
+    double bytes_per_second = 0;                // 0: no limit
     double loss_share = 0, duplicate_share = 0, reorder_share = 0; // shares of datagrams
 };
 
-// What the system does to the proxies' processes (sockets; src/testbed/faults).
+// Failing system calls in the proxies' processes (sockets; src/testbed/faults).
 struct system_fault_settings {
-    double rate = 0;            // share of the calls that fail or do a part of what was asked
-    double from = 0, lasts = 0; // s since a process's start
-    double clock_step = 0;      // s that the wall clock is off from then on
+    double rate = 0;            // share of the calls that fail or are partly executed
+    double from = 0, lasts = 0; // seconds since the start of the process
+    double clock_step = 0;      // offset of the wall clock from then on, in seconds
     bool any() const { return rate > 0 || clock_step != 0; }
 };
 
-// Whether a fault has an end of its own besides its beginning.
+// Whether the end of a fault is a separate event.
 bool has_end(const fault_settings &fault);
 
-// The names that experiment files use.
+// Names in experiment files.
 const char *name_of(fault_kind kind);
 const char *name_of(link_fault_kind kind);
 const char *name_of(link_kind kind);
--- a/src/testbed/model/histogram.hpp
+++ b/src/testbed/model/histogram.hpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-// Times in buckets whose width is a sixty-fourth of their value's power of two: a percentile is at most 1.6%
-// off. From 1 us to over an hour; what lies outside counts at the end. Two of them add up.
+// Log-linear histogram of durations: each power of two has 64 buckets, so that a percentile is at most 1.6%
+// off. Covers 1 us to over an hour; values outside are counted in the first or last bucket. Histograms can be
+// added up.
 #pragma once
 
 #include <array>
@@ -8,22 +9,22 @@
 
 namespace harrierpass::testbed {
 
-// A histogram of durations, in s.
+// A histogram of durations in seconds.
 class histogram {
 public:
     void add(double seconds);
-    void add(const histogram &that);
+    void add(const histogram &other);
     std::uint64_t count() const { return count_; }
-    double percentile(double percent) const; // s; 0 where nothing was added
+    double percentile(double percent) const; // seconds; 0 for an empty histogram
     double mean() const { return count_ > 0 ? sum_ / static_cast<double>(count_) : 0; }
-    double most() const { return most_; }
+    double maximum() const { return maximum_; }
 
 private:
-    static constexpr int parts = 64;  // buckets for each power of two
-    static constexpr int powers = 32; // from 1 us: 2^32 us are 71 minutes
-    std::array<std::uint64_t, std::size_t{parts} * powers> buckets_{};
+    static constexpr int buckets_per_power = 64;
+    static constexpr int powers = 32; // from 1 us up; 2^32 us are 71 minutes
+    std::array<std::uint64_t, std::size_t{buckets_per_power} * powers> buckets_{};
     std::uint64_t count_ = 0;
-    double sum_ = 0, most_ = 0;
+    double sum_ = 0, maximum_ = 0;
 };
 
 } // namespace harrierpass::testbed
--- a/src/testbed/model/ids.hpp
+++ b/src/testbed/model/ids.hpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// The id of a try as it stands in X-Request-Id, and back; an id of another make is an operation of its own.
+// Formats and parses the X-Request-Id of a client's attempt. An id of any other format maps to an operation
+// of its own.
 #pragma once
 
 #include "testbed/model/observer.hpp"
@@ -10,8 +11,8 @@
 
 namespace harrierpass::testbed {
 
-std::string to_id(operation op, index attempt);
-std::pair<operation, index> from_id(std::string_view id);
-std::string server_id(index number); // as in the list
+std::string to_request_id(operation op, index attempt);
+std::pair<operation, index> parse_request_id(std::string_view id);
+std::string server_id(index number); // the id in the endpoint list
 
 } // namespace harrierpass::testbed
--- a/src/testbed/model/list_service.cpp
+++ b/src/testbed/model/list_service.cpp
@@ -6,78 +6,80 @@
 namespace harrierpass::testbed {
 namespace {
 
-constexpr double max_watch_time = 60; // s that a watch may wait
+constexpr double max_watch_time = 60; // seconds that a watch may stay open
 
 } // namespace
 
 list_service::list_service(timeline &clock, const list_service_settings &settings, member_list &list)
     : clock_(clock), settings_(settings), list_(list), workers_(clock, settings.workers, settings.queue) {}
 
-list_answer list_service::changes(std::uint64_t since) const {
+list_response list_service::changes(std::uint64_t since) const {
     return {false, false, 0, list_.revision(), list_.since(since)};
 }
 
-std::uint64_t list_service::call(std::optional<std::uint64_t> since, double wait, const done_to &done) {
-    const std::uint64_t number = next_++;
-    if (!list_.answers() || !up_)
-        return number;
-    const auto serve = [this, number, since, wait, done, incarnation = incarnation_] {
-        if (incarnation != incarnation_ || waiting_.erase(number) == 0 || !list_.answers())
+std::uint64_t list_service::poll(std::optional<std::uint64_t> since, double wait,
+                                 const response_callback &done) {
+    const std::uint64_t poll_number = next_poll_++;
+    if (!list_.responding() || !up_)
+        return poll_number;
+    const auto respond = [this, poll_number, since, wait, done, incarnation = incarnation_] {
+        if (incarnation != incarnation_ || pending_.erase(poll_number) == 0 || !list_.responding())
             return;
         if (since)
-            return open(number, *since, wait, done);
-        list_answer all{false, true, 0, list_.revision(), {}};
-        for (const auto &each : list_.all())
-            if (each.state != endpoint_state::removed)
-                all.members.push_back(each);
-        done(all);
+            return open_watch(poll_number, *since, wait, done);
+        list_response snapshot{false, true, 0, list_.revision(), {}};
+        for (const auto &member : list_.all())
+            if (member.state != endpoint_state::removed)
+                snapshot.members.push_back(member);
+        done(snapshot);
     };
-    waiting_[number] = true;
+    pending_[poll_number] = true;
     if (settings_.form == list_service_kind::agent) {
-        serve();
-        return number;
+        respond();
+        return poll_number;
     }
     const double work = since ? settings_.watch_work : settings_.snapshot_work;
-    if (!workers_.take([work] { return work; }, serve)) {
-        waiting_.erase(number);
+    if (!workers_.submit([work] { return work; }, respond)) {
+        pending_.erase(poll_number);
         done({true, false, settings_.retry_after, 0, {}});
     }
-    return number;
+    return poll_number;
 }
 
-void list_service::open(std::uint64_t call, std::uint64_t since, double wait, const done_to &done) {
+void list_service::open_watch(std::uint64_t poll_number, std::uint64_t since, double wait,
+                              const response_callback &done) {
     if (since < list_.revision())
         return done(changes(since));
-    watching_[call] = {since, done};
-    clock_.after(std::clamp(wait, 0.0, max_watch_time), [this, call, incarnation = incarnation_] {
-        const auto found = watching_.find(call);
-        if (incarnation != incarnation_ || found == watching_.end() || !list_.answers())
+    watches_[poll_number] = {since, done};
+    clock_.after(std::clamp(wait, 0.0, max_watch_time), [this, poll_number, incarnation = incarnation_] {
+        const auto found = watches_.find(poll_number);
+        if (incarnation != incarnation_ || found == watches_.end() || !list_.responding())
             return;
-        const watch over = std::move(found->second);
-        watching_.erase(found);
-        over.done(changes(over.since));
+        const watch expired = std::move(found->second);
+        watches_.erase(found);
+        expired.done(changes(expired.since));
     });
 }
 
-void list_service::drop(std::uint64_t call) {
-    watching_.erase(call);
-    waiting_.erase(call); // its place with a worker stays taken, as the service does not look up
+void list_service::cancel(std::uint64_t poll_number) {
+    watches_.erase(poll_number);
+    pending_.erase(poll_number); // its worker stays in use: the service does not notice the cancellation
 }
 
-void list_service::changed() {
-    if (!list_.answers())
+void list_service::on_list_changed() {
+    if (!list_.responding())
         return;
-    const auto all = std::move(watching_);
-    watching_.clear();
-    for (const auto &[call, each] : all)
+    const auto open_watches = std::move(watches_);
+    watches_.clear();
+    for (const auto &[poll_number, each] : open_watches)
         each.done(changes(each.since));
 }
 
-void list_service::die() {
+void list_service::stop() {
     ++incarnation_;
     up_ = false;
-    watching_.clear();
-    waiting_.clear();
+    watches_.clear();
+    pending_.clear();
     workers_.clear();
 }
 
--- a/src/testbed/model/observer.hpp
+++ b/src/testbed/model/observer.hpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
-// What the modelled world tells of itself: each thing that a client, a server, the list or a link sees, once,
-// as it happens. The rule_checker hears it directly where all lives in one process; where parts of the world
-// are processes of their own, a writer takes it down with its time and the rule_checker hears it in the order
-// of these times (judge/merge.hpp). Times are the speaker's clock, s.
+// Interface for the events of a run: each event that a client, a server, the list or a link sees is reported
+// once, when it happens. In a run of one process the rule checker is the observer. In a run of several
+// processes a recorder stores the events with their times, and the rule checker receives them in the order of
+// these times (verification/event_merge.hpp). Times are seconds of the reporting process's clock.
 #pragma once
 
 #include "testbed/model/experiment.hpp"
@@ -11,10 +11,10 @@
 
 namespace harrierpass::testbed {
 
-// What a client wants once; each of its tries is a query with an id of its own.
+// Number of a client's operation; each of its attempts is a request with an id of its own.
 using operation = std::uint64_t;
 
-// How a client's try ended.
+// How a client's attempt ended.
 enum class reply : std::uint8_t { completed, rejected, aborted, cut, none };
 
 // Receives the events of a run.
@@ -22,33 +22,34 @@
 public:
     virtual ~observer() = default;
 
-    // The clients.
-    virtual void request_sent(operation op, index attempt, index proxy, index use_case, double end) = 0;
-    virtual void response_received(operation op, index attempt, reply how, bool body_fits) = 0;
-    // Its end has come, or its connection ended, without an answer.
+    // Events of clients.
+    virtual void request_sent(operation op, index attempt, index proxy, index use_case, double deadline) = 0;
+    virtual void response_received(operation op, index attempt, reply outcome, bool body_fits) = 0;
+    // The deadline passed, or the connection ended, without a response.
     virtual void response_missing(operation op, index attempt) = 0;
-    virtual void operation_finished(operation op) = 0; // no further try
-    // Its proxy never had it, as for want of a connection: nothing is owed.
+    virtual void operation_finished(operation op) = 0; // no further attempt
+    // The proxy never received the request, as when there was no connection; no response is due.
     virtual void request_not_accepted(operation op, index attempt) = 0;
 
-    // The servers. `sent`: when, s.
-    virtual void foreign_request_seen(operation op, index attempt,
-                                      index use_case) = 0; // where allow_unknown_requests' queries may come
-    virtual void attempt_received(operation op, index attempt, index server, double sent) = 0;
-    virtual void attempt_ended(operation op, index attempt,
-                               index server) = 0; // answered, or its connection ended
-    virtual void effect_executed(operation op, index attempt, index server) = 0; // its effect took place
-    virtual void server_overloaded(index server) = 0;                            // cold, and pushed over
-    virtual void server_process_died(index server) = 0; // its process was killed: what was out there is over
-
-    // The list and the proxies.
-    virtual void endpoint_state_notified(index proxy, index server, endpoint_state as) = 0;
-    // It ended, and its successor has heard of nothing. Killed: what it held is its clients' to try again.
+    // Events of servers. `send_time`: when the proxy sent the attempt, seconds.
+    // A request of a client outside the run; see rule_checker::allow_unknown_requests.
+    virtual void foreign_request_seen(operation op, index attempt, index use_case) = 0;
+    virtual void attempt_received(operation op, index attempt, index server, double send_time) = 0;
+    // Ended by a response, or by the end of its connection.
+    virtual void attempt_ended(operation op, index attempt, index server) = 0;
+    virtual void effect_executed(operation op, index attempt, index server) = 0;
+    virtual void server_overloaded(index server) = 0;   // while warming up; the server fails
+    virtual void server_process_died(index server) = 0; // its attempts in flight have ended
+
+    // Events of the list, the proxies and the links.
+    virtual void endpoint_state_notified(index proxy, index server, endpoint_state state) = 0;
+    // A new process replaces the proxy's, without the endpoint states it was notified of. If `killed`,
+    // clients have to retry the requests it had in flight.
     virtual void proxy_restarted(index proxy, bool killed) = 0;
-    // It stands still by a fault: it cannot answer in time.
+    // A fault suspends the proxy, so that it cannot respond in time.
     virtual void proxy_paused(index proxy, bool begins) = 0;
-    // A link between two ends is in trouble by a fault: what it held, and what an end could not see, is
-    // nobody's fault while that lasts and shortly after.
+    // A fault of a link begins or ends. While it lasts and shortly after, rules do not apply to requests that
+    // the link holds or for events that one of its ends could not see.
     virtual void link_fault_changed(link_kind kind, index near, index far, bool begins) = 0;
 };
 
--- a/src/testbed/model/origin.cpp
+++ b/src/testbed/model/origin.cpp
@@ -10,7 +10,7 @@
 void origin::fetch(const std::function<void(bool)> &done) {
     ++fetches_;
     const auto work = [this] { return factor_ * random_.lognormal(settings_.work, settings_.spread); };
-    if (!cores_.take(work, [done] { done(true); }))
+    if (!cores_.submit(work, [done] { done(true); }))
         done(false);
 }
 
@@ -20,7 +20,7 @@
 
 void origin::stop(bool begins) {
     stops_ += begins ? 1 : static_cast<index>(-1);
-    cores_.stand(stops_ > 0);
+    cores_.set_frozen(stops_ > 0);
 }
 
 } // namespace harrierpass::testbed
--- a/src/testbed/model/origin.hpp
+++ b/src/testbed/model/origin.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// The origin, where all values are, as a model without I/O: slow, and able to serve far less than all
-// requests.
+// Model of the origin, which stores all values. It is slow and has capacity for a small part of all requests
+// only. Does no I/O.
 #pragma once
 
 #include "testbed/model/cores.hpp"
@@ -9,15 +9,16 @@
 
 namespace harrierpass::testbed {
 
+// The origin of one run.
 class origin {
 public:
     origin(timeline &clock, const experiment &settings, std::uint32_t seed);
-    // Calls `done` with false if its queue was full.
+    // Calls `done` when the value is fetched, or at once with false if the queue is full.
     void fetch(const std::function<void(bool)> &done);
     void slow(double factor, bool begins);
     void stop(bool begins);
     std::uint64_t fetches() const { return fetches_; }
-    std::size_t waiting() const { return cores_.waiting(); }
+    std::size_t queue_length() const { return cores_.queue_length(); }
 
 private:
     const origin_settings &settings_;
--- a/src/testbed/model/random.hpp
+++ b/src/testbed/model/random.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// Chance from a given seed. The formulas are written out, as those of the standard library's distributions
-// differ between libraries and a trace must not.
+// Pseudo-random numbers from a seed. The distributions are implemented here, because those of the standard
+// library differ between implementations and a trace must not.
 #pragma once
 
 #include <cmath>
@@ -9,30 +9,30 @@
 
 namespace harrierpass::testbed {
 
-// Draws change the state: their order decides what a run does.
+// Each draw changes the state, so that a run is reproducible only if the order of draws stays the same.
 class random_generator {
 public:
-    explicit random_generator(std::uint32_t seed) : from_(seed == 0 ? 1 : seed) { from_.discard(8); }
+    explicit random_generator(std::uint32_t seed) : engine_(seed == 0 ? 1 : seed) { engine_.discard(8); }
 
-    double uniform() { return (static_cast<double>(from_()) - 1) / 2147483646.0; } // in [0, 1)
+    double uniform() { return (static_cast<double>(engine_()) - 1) / 2147483646.0; } // in [0, 1)
     std::uint32_t below(std::uint32_t count) {
-        const auto got = static_cast<std::uint32_t>(uniform() * count);
-        return got < count ? got : count - 1;
+        const auto value = static_cast<std::uint32_t>(uniform() * count);
+        return value < count ? value : count - 1;
     }
     bool happens(double share) { return uniform() < share; }
     double exponential(double mean) { return -mean * std::log(1 - uniform()); }
-    // Lognormal by its mean and the deviation of its logarithm; 0: always the mean.
+    // Lognormal, by its mean and the standard deviation of its logarithm; a deviation of 0 gives the mean.
     double lognormal(double mean, double spread) {
         if (spread <= 0)
             return mean;
         const double normal = std::sqrt(-2 * std::log(1 - uniform())) *
-                              std::cos(6.283185307179586 * uniform()); // Box and Muller
+                              std::cos(6.283185307179586 * uniform()); // Box-Muller transform
         return mean * std::exp(spread * normal - spread * spread / 2);
     }
-    std::uint32_t seed() { return from_(); }
+    std::uint32_t seed() { return engine_(); }
 
 private:
-    std::minstd_rand from_;
+    std::minstd_rand engine_;
 };
 
 } // namespace harrierpass::testbed
--- a/src/testbed/model/servers.cpp
+++ b/src/testbed/model/servers.cpp
@@ -7,153 +7,157 @@
 namespace harrierpass::testbed {
 namespace {
 
-constexpr double error_time = 0.0005;            // s; an error comes at once
-constexpr std::size_t min_overload_attempts = 8; // executions; fewer push nothing over
+constexpr double error_time = 0.0005; // seconds until a server that fails returns its error response
+constexpr std::size_t min_overload_attempts = 8; // fewer attempts never overload a server
 
 } // namespace
 
-// ---- One server
+// ---- Cache server
 
-cache_server::cache_server(fleet &of, index number, std::uint32_t seed)
-    : of_(of), number_(number), random_(seed),
-      cores_(of.clock, of.settings.fleet.cores, of.settings.fleet.queue) {
-    const auto &settings = of.settings.fleet;
-    const double part =
+cache_server::cache_server(fleet &owner, index number, std::uint32_t seed)
+    : fleet_(owner), number_(number), random_(seed),
+      cores_(owner.clock, owner.settings.fleet.cores, owner.settings.fleet.queue) {
+    const auto &settings = owner.settings.fleet;
+    const double position =
         settings.servers > 1 ? static_cast<double>(number % settings.servers) / (settings.servers - 1) : 1;
-    speed_ = settings.slowest + (1 - settings.slowest) * part;
+    speed_ = settings.slowest + (1 - settings.slowest) * position;
 }
 
 double cache_server::warm_up_progress() const {
-    const auto &cold = of_.settings.warm_up.routing;
+    const auto &cold = fleet_.settings.warm_up.routing;
     if (started_ <= 0 || cold.warm_up_time <= 0)
         return 1;
-    const double gone = std::max(0.0, of_.clock.now() - started_) / cold.warm_up_time;
-    return std::min(1.0, cold.initial_capacity_share + (1 - cold.initial_capacity_share) * gone);
+    const double elapsed_share = std::max(0.0, fleet_.clock.now() - started_) / cold.warm_up_time;
+    return std::min(1.0, cold.initial_capacity_share + (1 - cold.initial_capacity_share) * elapsed_share);
 }
 
-void cache_server::receive(const job &what, const answer_to &done) {
+void cache_server::receive(const job &received, const response_callback &done) {
     if (!up())
         return;
-    const auto &use = of_.settings.use_cases[what.use_case];
-    const double now = of_.clock.now();
+    const auto &use_case = fleet_.settings.use_cases[received.use_case];
+    const double now = fleet_.clock.now();
     if (warm_up_progress() < 1) {
-        const auto &cold = of_.settings.warm_up;
-        std::erase_if(sent_, [&](const auto &each) { return each.first < now - cold.overload_window; });
-        sent_.emplace_back(now, use.work);
+        const auto &cold = fleet_.settings.warm_up;
+        std::erase_if(warm_up_work_,
+                      [&](const auto &each) { return each.first < now - cold.overload_window; });
+        warm_up_work_.emplace_back(now, use_case.work);
         double work = 0;
-        for (const auto &each : sent_)
+        for (const auto &each : warm_up_work_)
             work += each.second;
-        const double can = of_.settings.fleet.cores * speed_ * warm_up_progress() * cold.overload_window;
-        if (sent_.size() >= min_overload_attempts && work > cold.overload_factor * can) {
-            of_.event_observer.server_overloaded(number_);
-            return fall();
+        const double capacity =
+            fleet_.settings.fleet.cores * speed_ * warm_up_progress() * cold.overload_window;
+        if (warm_up_work_.size() >= min_overload_attempts && work > cold.overload_factor * capacity) {
+            fleet_.event_observer.server_overloaded(number_);
+            return fail_overloaded();
         }
     }
     if (draining_)
         return reply_with(done, {result::kind::queue_full, note::none});
     for (const auto &each : response_faults_)
-        if (!each.malforms && (each.use_case == none || each.use_case == what.use_case) &&
+        if (!each.malforms && (each.use_case == none || each.use_case == received.use_case) &&
             random_.happens(each.share))
-            return of_.clock.after(error_time, [this, incarnation = incarnation_, done] {
+            return fleet_.clock.after(error_time, [this, incarnation = incarnation_, done] {
                 if (incarnation == incarnation_)
                     reply_with(done, {result::kind::error, note::none});
             });
-    begin(what, done);
+    begin(received, done);
 }
 
-void cache_server::fall() {
-    fallen_ = true;
+void cache_server::fail_overloaded() {
+    overloaded_ = true;
     cores_.clear();
     changed();
 }
 
 void cache_server::on_connection_opened() {
-    const double work = of_.settings.fleet.connect_work;
+    const double work = fleet_.settings.fleet.connect_work;
     if (work > 0 && up())
-        cores_.take([this, work] { return work * factor_ / (speed_ * warm_up_progress()); }, [] {});
+        cores_.submit([this, work] { return work * work_factor_ / (speed_ * warm_up_progress()); }, [] {});
 }
 
-void cache_server::begin(const job &what, const answer_to &done) {
-    const auto work = [this, use = what.use_case] {
-        const auto &spec = of_.settings.use_cases[use];
-        return random_.lognormal(spec.work, spec.spread) * factor_ / (speed_ * warm_up_progress());
+void cache_server::begin(const job &received, const response_callback &done) {
+    const auto work = [this, use_case_index = received.use_case] {
+        const auto &use_case = fleet_.settings.use_cases[use_case_index];
+        return random_.lognormal(use_case.work, use_case.spread) * work_factor_ /
+               (speed_ * warm_up_progress());
     };
-    if (!cores_.take(work, [this, what, done] { work_done(what, done); }))
+    if (!cores_.submit(work, [this, received, done] { work_done(received, done); }))
         reply_with(done, {result::kind::queue_full, note::none});
 }
 
-// The server's own part is done: the effect of a write takes place, a read is there or is fetched.
-void cache_server::work_done(const job &what, const answer_to &done) {
+// Called when the server's own work is done: executes a write, or serves a read from the cache or the origin.
+void cache_server::work_done(const job &received, const response_callback &done) {
     const auto incarnation = incarnation_;
-    if (what.write)
-        return of_.write(what, number_, [this, incarnation, done](bool seen, bool there) {
+    if (received.write)
+        return fleet_.write(received, number_, [this, incarnation, done](bool seen, bool fetched) {
             if (incarnation == incarnation_)
-                reply_with(done, {seen || there ? result::kind::completed : result::kind::error, note::none});
+                reply_with(done,
+                           {seen || fetched ? result::kind::completed : result::kind::error, note::none});
         });
-    if (!what.keyed || has_cached(what)) {
-        of_.event_observer.effect_executed(what.op, what.attempt, number_);
-        return reply_with(done, {result::kind::completed, what.keyed ? note::hit : note::none});
+    if (!received.keyed || has_cached(received)) {
+        fleet_.event_observer.effect_executed(received.op, received.attempt, number_);
+        return reply_with(done, {result::kind::completed, received.keyed ? note::hit : note::none});
     }
-    if (of_.settings.fleet.cache_aside)
+    if (fleet_.settings.fleet.cache_aside)
         return reply_with(done, {result::kind::missed, note::miss});
-    of_.event_observer.effect_executed(what.op, what.attempt, number_);
-    auto &waiting = fetching_[what.key];
-    waiting.push_back([this, incarnation, done, first = waiting.empty()](bool there) {
+    fleet_.event_observer.effect_executed(received.op, received.attempt, number_);
+    auto &waiting = fetching_[received.key];
+    waiting.push_back([this, incarnation, done, first = waiting.empty()](bool fetched) {
         if (incarnation == incarnation_)
-            reply_with(done, {there ? result::kind::completed : result::kind::error,
+            reply_with(done, {fetched ? result::kind::completed : result::kind::error,
                               first ? note::miss : note::pending});
     });
     if (waiting.size() > 1)
         return;
-    of_.fetch([this, incarnation, key = what.key](bool there) {
+    fleet_.fetch([this, incarnation, key = received.key](bool fetched) {
         if (incarnation != incarnation_)
             return;
-        if (there)
+        if (fetched)
             fill(key);
-        const auto all = std::move(fetching_[key]);
+        const auto waiting_requests = std::move(fetching_[key]);
         fetching_.erase(key);
-        for (const auto &each : all)
-            each(there);
+        for (const auto &each : waiting_requests)
+            each(fetched);
     });
 }
 
-void cache_server::reply_with(const answer_to &done, result with) {
+void cache_server::reply_with(const response_callback &done, result response) {
     if (!up() || drops_responses())
         return;
     for (const auto &each : response_faults_)
         if (each.malforms && random_.happens(each.share))
-            with = {result::kind::malformed, note::none};
-    done(with);
+            response = {result::kind::malformed, note::none};
+    done(response);
 }
 
-bool cache_server::has_cached(const job &what) {
-    const auto found = place_.find(what.key);
-    if (found == place_.end())
+bool cache_server::has_cached(const job &received) {
+    const auto found = cache_index_.find(received.key);
+    if (found == cache_index_.end())
         return false;
-    store_.splice(store_.begin(), store_, found->second);
+    cached_keys_.splice(cached_keys_.begin(), cached_keys_, found->second);
     return true;
 }
 
 void cache_server::fill(std::uint64_t key) {
-    if (of_.settings.fleet.cache_capacity == 0 || place_.contains(key))
+    if (fleet_.settings.fleet.cache_capacity == 0 || cache_index_.contains(key))
         return;
-    store_.push_front(key);
-    place_[key] = store_.begin();
-    if (store_.size() > of_.settings.fleet.cache_capacity) {
-        place_.erase(store_.back());
-        store_.pop_back();
+    cached_keys_.push_front(key);
+    cache_index_[key] = cached_keys_.begin();
+    if (cached_keys_.size() > fleet_.settings.fleet.cache_capacity) {
+        cache_index_.erase(cached_keys_.back());
+        cached_keys_.pop_back();
     }
 }
 
 void cache_server::fill_most_popular() {
-    for (index rank = std::min(of_.settings.fleet.cache_capacity, of_.settings.load.keys); rank-- > 0;)
+    for (index rank = std::min(fleet_.settings.fleet.cache_capacity, fleet_.settings.load.keys); rank-- > 0;)
         fill(rank);
 }
 
 void cache_server::drop(std::uint64_t key) {
-    if (const auto found = place_.find(key); found != place_.end()) {
-        store_.erase(found->second);
-        place_.erase(found);
+    if (const auto found = cache_index_.find(key); found != cache_index_.end()) {
+        cached_keys_.erase(found->second);
+        cache_index_.erase(found);
     }
 }
 
@@ -165,12 +169,12 @@
 void cache_server::start_cold(double started) {
     ++incarnation_;
     started_ = started;
-    fallen_ = false;
-    sent_.clear();
+    overloaded_ = false;
+    warm_up_work_.clear();
     cores_.clear();
-    cores_.stand(hung_ + vanished_ > 0);
-    store_.clear();
-    place_.clear();
+    cores_.set_frozen(hung_ + vanished_ > 0);
+    cached_keys_.clear();
+    cache_index_.clear();
     fetching_.clear();
     changed();
 }
@@ -183,27 +187,27 @@
         fetching_.clear();
         changed();
     } else if (crashed_ == 0) {
-        start_cold(of_.clock.now());
+        start_cold(fleet_.clock.now());
     }
 }
 
-void cache_server::set_trouble(bool begins) {
+void cache_server::set_faulty(bool begins) {
     open_faults_ += begins ? 1 : static_cast<index>(-1);
     if (open_faults_ == 0)
         faulty_since_ = 0;
     else if (faulty_since_ == 0)
-        faulty_since_ = of_.clock.now();
+        faulty_since_ = fleet_.clock.now();
 }
 
 void cache_server::hang(bool begins) {
     hung_ += begins ? 1 : static_cast<index>(-1);
-    cores_.stand(hung_ + vanished_ > 0);
+    cores_.set_frozen(hung_ + vanished_ > 0);
     changed();
 }
 
 void cache_server::vanish(bool begins) {
     vanished_ += begins ? 1 : static_cast<index>(-1);
-    cores_.stand(hung_ + vanished_ > 0);
+    cores_.set_frozen(hung_ + vanished_ > 0);
     changed();
 }
 
@@ -213,7 +217,7 @@
 }
 
 void cache_server::slow(double factor, bool begins) {
-    factor_ *= begins ? factor : 1 / factor;
+    work_factor_ *= begins ? factor : 1 / factor;
 }
 
 void cache_server::errors(double share, index use_case, bool begins) {
@@ -233,74 +237,75 @@
                       [&](const response_fault &each) { return each.malforms && each.share == share; });
 }
 
-void apply_server_fault(cache_server &of, const fault_settings &fault, bool begins) {
+void apply_server_fault(cache_server &server, const fault_settings &fault, bool begins) {
     switch (fault.kind) {
     case fault_kind::crash:
     case fault_kind::host_kill:
-        return of.crash(begins);
+        return server.crash(begins);
     case fault_kind::join:
-        return of.crash(false);
+        return server.crash(false);
     case fault_kind::hang:
     case fault_kind::host_stop:
-        return of.hang(begins);
+        return server.hang(begins);
     case fault_kind::vanish:
-        return of.vanish(begins);
+        return server.vanish(begins);
     case fault_kind::slow:
-        return of.slow(fault.factor, begins);
+        return server.slow(fault.factor, begins);
     case fault_kind::errors:
-        return of.errors(fault.factor, fault.use_case, begins);
+        return server.errors(fault.factor, fault.use_case, begins);
     case fault_kind::malformed:
-        return of.malformed(fault.factor, begins);
+        return server.malformed(fault.factor, begins);
     case fault_kind::one_way:
-        return of.one_way(begins);
+        return server.one_way(begins);
     case fault_kind::drain:
-        return of.refuse(begins);
+        return server.set_draining(begins);
     default:
         return;
     }
 }
 
-// ---- The fleet
+// ---- Fleet
 
-fleet::fleet(timeline &with, const experiment &of, observer &by, std::uint32_t seed)
-    : clock(with), settings(of), event_observer(by), origin_(with, of, seed) {
-    const index most = total_server_count(settings);
-    for (index i = 0; i < most; ++i)
+fleet::fleet(timeline &run_clock, const experiment &run_settings, observer &run_observer, std::uint32_t seed)
+    : clock(run_clock), settings(run_settings), event_observer(run_observer),
+      origin_(run_clock, run_settings, seed) {
+    const index server_count = total_server_count(settings);
+    for (index i = 0; i < server_count; ++i)
         servers_.emplace_back(*this, i, seed + 7919 * (i + 1));
-    for (index i = settings.fleet.servers; i < most; ++i)
-        servers_[i].crash(true); // not there before it joins
+    for (index i = settings.fleet.servers; i < server_count; ++i)
+        servers_[i].crash(true); // down until it joins
 }
 
-void fleet::receive_at_origin(const job &what, const answer_to &done) {
-    if (what.write && seen_before(what, size()))
+void fleet::receive_at_origin(const job &received, const response_callback &done) {
+    if (received.write && seen_before(received, size()))
         return done({result::kind::completed, note::none});
-    origin_.fetch([this, what, done](bool there) {
-        if (!there)
+    origin_.fetch([this, received, done](bool fetched) {
+        if (!fetched)
             return done({result::kind::queue_full, note::none});
-        event_observer.effect_executed(what.op, what.attempt, size());
-        if (what.write && what.keyed)
-            wrote(what.key);
-        else if (what.keyed && what.missed_at < servers_.size() && servers_[what.missed_at].up())
-            servers_[what.missed_at].fill(what.key);
+        event_observer.effect_executed(received.op, received.attempt, size());
+        if (received.write && received.keyed)
+            invalidate(received.key);
+        else if (received.keyed && received.missed_at < servers_.size() && servers_[received.missed_at].up())
+            servers_[received.missed_at].fill(received.key);
         done({result::kind::completed, note::none});
     });
 }
 
-bool fleet::seen_before(const job &what, index server) {
-    const auto &use = settings.use_cases[what.use_case].routing;
-    if (use.effect != effect_kind::deduplicated)
+bool fleet::seen_before(const job &received, index server) {
+    const auto &use_case = settings.use_cases[received.use_case].routing;
+    if (use_case.effect != effect_kind::deduplicated)
         return false;
-    while (!old_marks_.empty() && old_marks_.front().first + 3600 < clock.now()) {
-        marks_.erase(old_marks_.front().second);
-        old_marks_.pop_front();
+    while (!operations_by_age_.empty() && operations_by_age_.front().first + 3600 < clock.now()) {
+        deduplication_records_.erase(operations_by_age_.front().second);
+        operations_by_age_.pop_front();
     }
-    auto &known = marks_[what.op];
-    const index group = deduplication_group_of(settings, what.use_case, server);
-    for (const auto &each : known)
-        if (each.group == group && clock.now() < each.when + use.deduplication_window)
+    auto &records = deduplication_records_[received.op];
+    const index group = deduplication_group_of(settings, received.use_case, server);
+    for (const auto &each : records)
+        if (each.group == group && clock.now() < each.time + use_case.deduplication_window)
             return true;
-    known.push_back({clock.now(), group});
-    old_marks_.emplace_back(clock.now(), what.op);
+    records.push_back({clock.now(), group});
+    operations_by_age_.emplace_back(clock.now(), received.op);
     return false;
 }
 
@@ -310,24 +315,24 @@
     origin_.fetch(done);
 }
 
-void fleet::write(const job &what, index server, std::function<void(bool, bool)> done) {
+void fleet::write(const job &received, index server, std::function<void(bool, bool)> done) {
     if (remote_write)
-        return remote_write(what, server, std::move(done));
-    if (seen_before(what, server))
+        return remote_write(received, server, std::move(done));
+    if (seen_before(received, server))
         return done(true, true);
-    event_observer.effect_executed(what.op, what.attempt, server);
-    origin_.fetch([this, keyed = what.keyed, key = what.key, done](bool there) {
-        if (there && keyed)
-            wrote(key);
-        done(false, there);
+    event_observer.effect_executed(received.op, received.attempt, server);
+    origin_.fetch([this, keyed = received.keyed, key = received.key, done](bool fetched) {
+        if (fetched && keyed)
+            invalidate(key);
+        done(false, fetched);
     });
 }
 
-void fleet::wrote(std::uint64_t key) {
+void fleet::invalidate(std::uint64_t key) {
     for (auto &each : servers_)
         each.drop(key);
-    if (on_wrote)
-        on_wrote(key);
+    if (on_invalidated)
+        on_invalidated(key);
 }
 
 } // namespace harrierpass::testbed
--- a/src/testbed/model/toml_section.cpp
+++ b/src/testbed/model/toml_section.cpp
@@ -28,7 +28,7 @@
 
 void toml_section::refuse(const toml::node *node, const std::string &reason) const {
     const auto &source = node != nullptr ? node->source() : table_.source();
-    // What a base file brought is refused where it stands.
+    // The node may come from a base file, so that its own path goes before `file_`.
     throw experiment_error((source.path ? *source.path : file_) + ":" + std::to_string(source.begin.line) +
                            ": " + reason);
 }
--- a/src/testbed/model/toml_section.hpp
+++ b/src/testbed/model/toml_section.hpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-// Strict reader of one table of an experiment file. Each accessor leaves its target as it is where the key is
-// absent, and throws experiment_error, with file, line and reason, for a value of the wrong type or outside
-// its bounds. finish() refuses keys that no accessor asked for.
+// Strict reader of one table of an experiment file. An accessor leaves its target unchanged if the key is
+// absent, and throws experiment_error with file, line and reason for a value of the wrong type or outside its
+// bounds. finish() refuses keys that no accessor has read.
 #pragma once
 
 #include "testbed/model/experiment.hpp"
@@ -14,29 +14,30 @@
 
 namespace harrierpass::testbed {
 
+// Reader of one table; refers to the parsed TOML, which has to outlive it.
 class toml_section {
 public:
-    // `path` is put before keys in messages; `file` is named where the table does not know its own file.
+    // `path` is the prefix of keys in messages; messages name `file` if the table has no source path.
     toml_section(const toml::table &table, std::string path, std::string file);
 
-    // Throws with the place of the node, or of the table where there is none.
+    // Throws with the line of the node, or of the table if there is no node.
     [[noreturn]] void refuse(const toml::node *node, const std::string &reason) const;
-    // Throws with the place of the key; the message begins with its full name.
+    // Throws with the line of the key; the message begins with the key's full name.
     [[noreturn]] void refuse_key(const std::string &key, const std::string &reason) const;
 
     bool has(const std::string &key) const { return table_.contains(key); }
 
-    // A number, whole or not, between both bounds.
+    // Reads an integer or floating-point number within the bounds.
     void number(const std::string &key, double &target, double minimum, double maximum);
-    // A whole number between both bounds.
+    // Reads an integer within the bounds.
     void whole_number(const std::string &key, index &target, double minimum, double maximum);
     void flag(const std::string &key, bool &target);
     void text(const std::string &key, std::string &target);
-    // A time with its unit ("8ms", "2s", "200us", "1min"); target and bounds in seconds.
+    // Reads a time with its unit ("8ms", "2s", "200us", "1min"); target and bounds in seconds.
     void seconds(const std::string &key, double &target, double minimum, double maximum);
-    // A list of at least one text.
+    // Reads a list of at least one string.
     void texts(const std::string &key, std::vector<std::string> &target);
-    // A list of at least one whole number below `limit`, or of ranges of them ("200-299").
+    // Reads a list of at least one integer below `limit`, or of ranges of them ("200-299").
     template <typename Number>
     void numbers(const std::string &key, std::vector<Number> &target, double limit) {
         std::vector<std::uint64_t> values;
@@ -46,7 +47,7 @@
         for (const std::uint64_t value : values)
             target.push_back(static_cast<Number>(value));
     }
-    // One of the names of a table of (name, value).
+    // Reads a name, which `names` (pairs of name and value) maps to a value.
     template <typename Names, typename Kind>
     void one_of(const std::string &key, const Names &names, Kind &target) {
         if (!has(key))
@@ -63,7 +64,7 @@
         }
         refuse_key(key, "is \"" + value + "\", and known are: " + known);
     }
-    // Calls `read` with the section of each [[key]].
+    // Calls `read` for the section of each [[key]].
     template <typename Read> void tables(const std::string &key, Read read) {
         const toml::node *node = take(key);
         if (node == nullptr)
@@ -73,7 +74,7 @@
         for (const auto &element : *node->as_array())
             read_table(*element.as_table(), key, read);
     }
-    // Calls `read` with the section of [key].
+    // Calls `read` for the section of [key].
     template <typename Read> void table(const std::string &key, Read read) {
         const toml::node *node = take(key);
         if (node == nullptr)
@@ -83,7 +84,7 @@
         read_table(*node->as_table(), key, read);
     }
 
-    // Refuses the first key that no accessor asked for.
+    // Throws for the first key that no accessor has read.
     void finish() const;
 
 private:
--- a/src/testbed/processes/fleet_ports.cpp
+++ b/src/testbed/processes/fleet_ports.cpp
@@ -46,7 +46,9 @@
     const int worker_port = port_of(local_address(free));
     open_servers(where.first_server, worker_port);
     open_lists(where.first_list, worker_port);
-    environment_.list.on_change = [this](const membership::member &) { environment_.service.changed(); };
+    environment_.list.on_change = [this](const membership::member &) {
+        environment_.service.on_list_changed();
+    };
     environment_.on_list_stop = [this](bool begins) { workers_.on_list_fault(false, begins); };
     environment_.on_list_kill = [this](bool begins) { workers_.on_list_fault(true, begins); };
     if (environment_.settings.proxies.may_exchange_datagrams)
@@ -106,7 +108,7 @@
 
 void fleet_ports::open_links() {
     relay_ = std::make_unique<relay>(loop_, environment_.links, relay_seed);
-    for (const auto &each : environment_.links.all()) {
+    for (const auto &each : environment_.links.link_ids()) {
         if (each.kind == link_kind::proxy_server)
             addresses_.server_links[{each.near, each.far}] =
                 to_text(relay_->open(each, *parse_address(addresses_.servers.at(each.far))));
--- a/src/testbed/processes/fleet_workers.cpp
+++ b/src/testbed/processes/fleet_workers.cpp
@@ -85,7 +85,7 @@
         on_host_fault(host, kind, begins);
     };
     if (hosts > 0)
-        environment_.servers.on_wrote = [this](std::uint64_t key) {
+        environment_.servers.on_invalidated = [this](std::uint64_t key) {
             worker_message written;
             written.is = worker_message::kind::void_copy;
             written.key = key;
@@ -143,7 +143,7 @@
         return on_connection(what.a, what.flag != 0);
     case worker_message::kind::event:
         if (what.event.is == observed_event::kind::server_overloaded) {
-            environment_.servers.at(what.event.a).fall();
+            environment_.servers.at(what.event.a).fail_overloaded();
             on_server_changed(what.event.a);
         }
         return;
@@ -201,7 +201,7 @@
 
 void fleet_workers::kill_host(index host) {
     auto &worker = *servers_.at(host);
-    const double before = loop_.exact();
+    const double before = loop_.precise_now();
     worker.kill();
     // Later than all that it had written, and earlier than what anybody does for its death.
     observed_event died;
@@ -216,7 +216,7 @@
 
 void fleet_workers::on_list_fault(bool kills, bool begins) {
     if (!list_)
-        return environment_.list.silent(begins);
+        return environment_.list.set_silent(begins);
     auto &active = kills ? killed_.back() : stopped_.back();
     active += begins ? 1 : static_cast<index>(-1);
     if (!kills)
--- a/src/testbed/processes/list_port.cpp
+++ b/src/testbed/processes/list_port.cpp
@@ -31,7 +31,7 @@
         made->on_message = [this](const auto &on, const http_reader &request) { on_request(on, request); };
         made->on_end = [this](const auto &on, channel::ending) {
             if (const auto poll = polls_.find(on->tag); poll != polls_.end()) {
-                service_.drop(poll->second);
+                service_.cancel(poll->second);
                 polls_.erase(poll);
             }
             open_.erase(on->tag);
@@ -45,18 +45,18 @@
     const auto target = request.head().target;
     if (!target.starts_with("/catalog/members"))
         return on->send(text_answer(404, {}, {}));
-    if (!list_.answers() || random_.happens(experiment_.list.lose))
+    if (!list_.responding() || random_.happens(experiment_.list.lose))
         return; // silent, or lost on its way
     const long since = number_in(target, "since=");
     const double wait = static_cast<double>(number_in(target, "timeout_ms=")) / 1000;
     const auto revision = since < 0 ? std::nullopt : std::optional(static_cast<std::uint64_t>(since));
     const auto done = [this, here = std::weak_ptr(lifetime_),
-                       weak = std::weak_ptr(on)](const list_answer &with) {
+                       weak = std::weak_ptr(on)](const list_response &with) {
         const auto to = weak.lock();
         if (!here.expired() && to && to->open())
             send_list(to, with);
     };
-    polls_[on->tag] = service_.call(revision, wait, done);
+    polls_[on->tag] = service_.poll(revision, wait, done);
 }
 
 std::string list_port::entry(const experiment &of, const member_list::member &each, bool is_origin,
@@ -73,23 +73,23 @@
     return made.dump();
 }
 
-void list_port::send_list(const std::shared_ptr<channel> &to, const list_answer &with) {
+void list_port::send_list(const std::shared_ptr<channel> &to, const list_response &with) {
     if (with.refused) {
         if (on_poll)
             on_poll(list_poll::rejected, 0);
         return to->send(text_answer(503, "Retry-After: " + std::to_string(with.retry_after) + "\r\n", {}));
     }
     std::string text = "{\"revision\":" + std::to_string(with.revision) +
-                       ",\"complete\":" + (with.whole ? "true" : "false") + ",\"members\":[";
+                       ",\"complete\":" + (with.is_snapshot ? "true" : "false") + ",\"members\":[";
     for (const auto &each : with.members)
         text +=
             (text.back() == '[' ? "" : ",") + entry(experiment_, each, each.server + 1 == list_.all().size(),
                                                     server_address_(proxy_, each.server));
     text = text_answer(200, {}, text + "]}");
     if (on_poll)
-        on_poll(with.whole ? list_poll::snapshot : list_poll::watch, text.size());
+        on_poll(with.is_snapshot ? list_poll::snapshot : list_poll::watch, text.size());
     // Told is what is written: taken down first, so that nothing is forgotten if this process ends now.
-    if (with.whole)
+    if (with.is_snapshot)
         for (const auto &each : list_.all())
             observer_.endpoint_state_notified(proxy_, each.server, each.state);
     else
--- a/src/testbed/processes/list_port.hpp
+++ b/src/testbed/processes/list_port.hpp
@@ -33,7 +33,7 @@
 private:
     void accept();
     void on_request(const std::shared_ptr<channel> &on, const http_reader &request);
-    void send_list(const std::shared_ptr<channel> &to, const list_answer &with);
+    void send_list(const std::shared_ptr<channel> &to, const list_response &with);
 
     loop &loop_;
     const experiment &experiment_;
--- a/src/testbed/processes/server_port.cpp
+++ b/src/testbed/processes/server_port.cpp
@@ -134,7 +134,7 @@
     const auto &head = request.head();
     on->used = loop_.clock.now();
     if (head.target == "/ping") {
-        if (number_ < fleet_.size() && !fleet_.at(number_).answers_probes())
+        if (number_ < fleet_.size() && !fleet_.at(number_).answers_health_checks())
             return;
         return on->send(text_answer(200, {}, {}));
     }
@@ -151,7 +151,7 @@
     const auto slash = path.rfind('/');
     const std::string key(slash == std::string_view::npos ? std::string_view{} : path.substr(slash + 1));
     job what;
-    std::tie(what.op, what.attempt) = from_id(id);
+    std::tie(what.op, what.attempt) = parse_request_id(id);
     what.use_case = static_cast<index>(use - uses.begin());
     what.write = head.method == "PUT";
     what.keyed = !key.empty();
@@ -183,8 +183,8 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxyz"};
     on->used = loop_.clock.now();
     on_attempt_over(on->tag);
-    const std::string_view note = notes[static_cast<std::size_t>(with.says)];
-    switch (with.is) {
+    const std::string_view note = notes[static_cast<std::size_t>(with.cache)];
+    switch (with.outcome) {
     case result::kind::completed:
         return on->send(text_answer(200, note,
                                     "{\"key\":\"" + std::string(key) + "\",\"query\":\"" + std::string(id) +
--- a/src/testbed/processes/worker_process.cpp
+++ b/src/testbed/processes/worker_process.cpp
@@ -175,7 +175,7 @@
     worker_program(const json &setup, const experiment &given)
         : experiment_(given), loop_(setup.at("offset").get<double>()),
           link_(loop_, tcp_socket(child_process::control_place), true),
-          recorder_([this] { return loop_.exact(); },
+          recorder_([this] { return loop_.precise_now(); },
                     [this](const observed_event &what) {
                         worker_message made;
                         made.is = worker_message::kind::event;
@@ -313,15 +313,15 @@
                 done(what.flag != 0, what.flag2 != 0);
             return;
         case worker_message::kind::void_copy:
-            return fleet_->wrote(what.key);
+            return fleet_->invalidate(what.key);
         case worker_message::kind::load:
         case worker_message::kind::publish:
             list_->load({what.a, static_cast<endpoint_state>(what.small), what.x, what.number});
             if (what.is == worker_message::kind::publish)
-                service_->changed();
+                service_->on_list_changed();
             return;
         case worker_message::kind::silent:
-            return list_->silent(what.flag != 0);
+            return list_->set_silent(what.flag != 0);
         default:
             return;
         }
--- a/src/testbed/runs/run_environment.cpp
+++ b/src/testbed/runs/run_environment.cpp
@@ -87,7 +87,7 @@
     fetched_ = servers.source().fetches();
     for (index i = 0; i < in_flight_.size(); ++i) {
         in_flight_[i].resize(samples_.size());
-        in_flight_[i][slot] += static_cast<double>(servers.at(i).in_hand());
+        in_flight_[i][slot] += static_cast<double>(servers.at(i).active_and_queued());
     }
     clock.after(load_clients.slot_length() / samples_a_slot, [this] { sample(); });
 }
@@ -112,9 +112,9 @@
                 event_observer.link_fault_changed(link_kind::proxy_server, proxy, server, begins);
     switch (fault.kind) {
     case fault_kind::list_silent:
-        return list.silent(begins);
+        return list.set_silent(begins);
     case fault_kind::list_stale:
-        return list.stale(begins);
+        return list.set_stale(begins);
     case fault_kind::origin_slow:
         return servers.source().slow(fault.factor, begins);
     case fault_kind::origin_stop:
@@ -161,7 +161,7 @@
                           fault.kind == fault_kind::host_kill || fault.kind == fault_kind::host_stop ||
                           fault.kind == fault_kind::vanish || fault.kind == fault_kind::one_way;
     if (silences && (fault.lasts <= 0 || fault.lasts >= min_fault_time))
-        of.set_trouble(begins);
+        of.set_faulty(begins);
     if (fault.kind != fault_kind::drain) // its refusals come later
         model(fault, server, begins);
     switch (fault.kind) {
@@ -241,7 +241,7 @@
     to.p99 = all.times.percentile(99);
     to.p999 = all.times.percentile(99.9);
     to.lateness_p99 = of.lateness().percentile(99);
-    to.max_lateness = of.lateness().most();
+    to.max_lateness = of.lateness().maximum();
 }
 
 run_result run_environment::result(const variant_settings &of, const char *mode) const {
@@ -254,7 +254,7 @@
     take_totals(made, load_clients);
     made.executions = checker.executions();
     made.fetches = servers.source().fetches();
-    made.events = clock.ran();
+    made.events = clock.events_run();
     made.trace = checker.trace_hash();
     for (std::size_t i = 0; i < static_cast<std::size_t>(rule::total); ++i)
         made.rules.emplace_back(name_of(static_cast<rule>(i)), checker.broken(static_cast<rule>(i)));
--- a/src/testbed/runs/socket_run.cpp
+++ b/src/testbed/runs/socket_run.cpp
@@ -85,7 +85,7 @@
     std::function<double()> exact_clock() {
         if (settings_.fleet.hosts == 0 && !settings_.list.own_process)
             return {};
-        return [this] { return loop_.exact(); };
+        return [this] { return loop_.precise_now(); };
     }
 
     void await_workers() {
--- a/src/testbed/runs/virtual_proxy.cpp
+++ b/src/testbed/runs/virtual_proxy.cpp
@@ -180,7 +180,7 @@
     postponed_.clear();
     for (index i = 0; i < idle_.size(); ++i)
         close_connections(i);
-    service_.drop(poll_token_);
+    service_.cancel(poll_token_);
     ++poll_number_;
     poll_in_flight_ = false;
     router_.reset();
@@ -420,8 +420,8 @@
             [heard, result, fetched] { heard(result, fetched); }, waits);
     };
     const auto answered = [back](const result &with) {
-        const bool fetched = with.says == note::miss || with.says == note::pending;
-        switch (with.is) {
+        const bool fetched = with.cache == note::miss || with.cache == note::pending;
+        switch (with.outcome) {
         case result::kind::completed:
             return back(outcome::completed, fetched);
         case result::kind::queue_full:
@@ -560,7 +560,7 @@
 bool virtual_proxy::record_suspicion(index server) {
     if (server >= servers_.size())
         return true;
-    const double since = servers_.at(server).troubled_since();
+    const double since = servers_.at(server).faulty_since();
     found_fault_start_.resize(servers_.size());
     if (since > 0 && found_fault_start_[server] != since) {
         found_fault_start_[server] = since;
@@ -587,7 +587,7 @@
     if (server >= servers_.size())
         return clock_.after(2 * network_latency(server), [over] { over(true); });
     const auto &to = servers_.at(server);
-    const bool answered = to.answers_probes() && links_.can_connect(to_server(server));
+    const bool answered = to.answers_health_checks() && links_.can_connect(to_server(server));
     if (to.silent() || !to.up())
         metrics_.on_sent_to_dead(true);
     metrics_.on_connect(server, !to.silent() && to.up()); // a probe's connection is always new
@@ -615,8 +615,8 @@
     });
 }
 
-discovery::snapshot_facts virtual_proxy::facts_of(const list_answer &with) const {
-    discovery::snapshot_facts made{with.whole, with.revision, poll_schedule_->revision(), 0, 0, 0};
+discovery::snapshot_facts virtual_proxy::facts_of(const list_response &with) const {
+    discovery::snapshot_facts made{with.is_snapshot, with.revision, poll_schedule_->revision(), 0, 0, 0};
     for (const endpoint_state each : endpoint_states_)
         made.known_endpoints += each != endpoint_state::removed;
     for (const auto &each : with.members) {
@@ -640,7 +640,7 @@
     clock_.after(wait, [this, incarnation = incarnation_] {
         if (incarnation != incarnation_ || !up())
             return;
-        if (!list_.answers() || !links_.can_connect(to_list()) || random_.happens(settings_.list.lose))
+        if (!list_.responding() || !links_.can_connect(to_list()) || random_.happens(settings_.list.lose))
             return clock_.after(list_response_limit, [this, incarnation] {
                 if (incarnation == incarnation_)
                     event([this, incarnation] {
@@ -700,12 +700,12 @@
     const auto stands = [this, incarnation = incarnation_, call] {
         return incarnation == incarnation_ && call == poll_number_;
     };
-    const auto answer = [this, incarnation = incarnation_, call, stands](const list_answer &with) {
+    const auto answer = [this, incarnation = incarnation_, call, stands](const list_response &with) {
         const auto bytes = static_cast<std::size_t>(
             response_size + list_entry_size * static_cast<double>(with.members.size()));
-        metrics_.on_poll(with.refused ? list_poll::rejected
-                         : with.whole ? list_poll::snapshot
-                                      : list_poll::watch,
+        metrics_.on_poll(with.refused       ? list_poll::rejected
+                         : with.is_snapshot ? list_poll::snapshot
+                                            : list_poll::watch,
                          bytes);
         links_.carry(
             to_list(), direction::backward, settings_.network.latency, bytes,
@@ -722,12 +722,12 @@
         to_list(), direction::forward, settings_.network.latency, static_cast<std::size_t>(response_size),
         [this, stands, out, answer] {
             if (stands())
-                poll_token_ = service_.call(out.watch_revision, out.watch_timeout, answer);
+                poll_token_ = service_.poll(out.watch_revision, out.watch_timeout, answer);
         },
         stands);
 }
 
-void virtual_proxy::on_list_received(std::uint64_t call, const list_answer &with) {
+void virtual_proxy::on_list_received(std::uint64_t call, const list_response &with) {
     if (call != poll_number_)
         return;
     if (with.refused && !poll_schedule_)
@@ -738,8 +738,8 @@
         if (with.refused)
             poll_schedule_->on_rejected(clock_.now(), with.retry_after);
         else if (poll_schedule_->on_update(clock_.now(), facts_of(with)) &&
-                 (with.whole || !with.members.empty()))
-            update_endpoints(with.whole ? endpoint_update_kind::snapshot : endpoint_update_kind::delta,
+                 (with.is_snapshot || !with.members.empty()))
+            update_endpoints(with.is_snapshot ? endpoint_update_kind::snapshot : endpoint_update_kind::delta,
                              with.members);
         if (up())
             schedule_poll();
@@ -747,8 +747,8 @@
     }
     const std::uint64_t known = poll_number_;
     revision_ = with.revision;
-    if (with.whole || !with.members.empty())
-        update_endpoints(with.whole ? endpoint_update_kind::snapshot : endpoint_update_kind::delta,
+    if (with.is_snapshot || !with.members.empty())
+        update_endpoints(with.is_snapshot ? endpoint_update_kind::snapshot : endpoint_update_kind::delta,
                          with.members);
     if (up() && known == poll_number_ && !poll_in_flight_)
         poll_list();
@@ -759,7 +759,7 @@
         return;
     ++poll_number_;
     poll_in_flight_ = false;
-    service_.drop(poll_token_);
+    service_.cancel(poll_token_);
     if (poll_schedule_) {
         poll_schedule_->on_failure(clock_.now());
         schedule_poll();
@@ -775,7 +775,7 @@
 void virtual_proxy::on_list_changed(const membership::member &what) {
     if (!up() || !watching_)
         return;
-    if (!list_.answers() || !links_.can_connect(to_list()) || random_.happens(settings_.list.lose)) {
+    if (!list_.responding() || !links_.can_connect(to_list()) || random_.happens(settings_.list.lose)) {
         watching_ = false;
         clock_.after(list_response_limit, [this, incarnation = incarnation_] {
             if (incarnation == incarnation_)
--- a/src/testbed/runs/virtual_proxy.hpp
+++ b/src/testbed/runs/virtual_proxy.hpp
@@ -74,9 +74,9 @@
     void await_completion(const std::function<void()> &gone, double limit);
     void load_initial_list(); // the list that it starts with
     void schedule_poll();     // where one list service serves all
-    discovery::snapshot_facts facts_of(const list_answer &with) const;
+    discovery::snapshot_facts facts_of(const list_response &with) const;
     void poll_list();
-    void on_list_received(std::uint64_t call, const list_answer &with);
+    void on_list_received(std::uint64_t call, const list_response &with);
     void on_poll_failed(std::uint64_t call);
     void event(std::function<void()> what); // now, or when the proxy goes on
     void apply_actions();
--- a/src/testbed/runs/virtual_run.cpp
+++ b/src/testbed/runs/virtual_run.cpp
@@ -101,17 +101,17 @@
     void connect_list() {
         environment_.list.on_change = [this](const membership::member &changed) {
             if (settings_.list.form == list_service_kind::central)
-                return environment_.service.changed();
+                return environment_.service.on_list_changed();
             for (auto &proxy : proxies_)
                 proxy.on_list_changed(changed);
         };
-        environment_.on_list_stop = [this](bool begins) { environment_.list.silent(begins); };
+        environment_.on_list_stop = [this](bool begins) { environment_.list.set_silent(begins); };
         environment_.on_list_kill = [this](bool begins) {
             if (settings_.list.form == list_service_kind::agent)
-                return environment_.list.silent(begins);
+                return environment_.list.set_silent(begins);
             if (!begins)
-                return environment_.service.rise();
-            environment_.service.die();
+                return environment_.service.restart();
+            environment_.service.stop();
             for (auto &proxy : proxies_)
                 proxy.on_list_service_died();
         };
--- a/tests/testbed/links/conditions_test.cpp
+++ b/tests/testbed/links/conditions_test.cpp
@@ -8,9 +8,9 @@
 namespace {
 
 constexpr link_id faulty_link{link_kind::proxy_server, 0, 1};
-const std::string that_link = "between = [\"proxy-server\"]\nproxies = [0]\nservers = [1]\n";
+const std::string faulty_link_keys = "between = [\"proxy-server\"]\nproxies = [0]\nservers = [1]\n";
 
-// Two proxies and two servers.
+// An experiment with two proxies, two servers and the given link faults.
 experiment with_links(const std::string &faults) {
     return parse_experiment("[fleet]\nservers = 2\n[proxies]\ncount = 2\n" + faults + request_class("lookup"),
                             "links.toml");
@@ -18,11 +18,11 @@
 
 } // namespace
 
-TEST_CASE("only links that a fault names are in the table") {
-    const experiment given = with_links(link_fault("drop", that_link));
-    link_table table(given, 2, 1);
+TEST_CASE("the table contains only links that a fault affects") {
+    const experiment settings = with_links(link_fault("drop", faulty_link_keys));
+    link_table table(settings, 2, 1);
     CHECK(table.size() == 1);
-    CHECK(table.all() == std::vector<link_id>{faulty_link});
+    CHECK(table.link_ids() == std::vector<link_id>{faulty_link});
     CHECK(table.contains(faulty_link));
     const link_id other{link_kind::proxy_server, 0, 0};
     CHECK(!table.contains(other));
@@ -30,13 +30,13 @@
     CHECK(!table.conditions(other).impaired());
 }
 
-TEST_CASE("a fault that began twice is in force until it has ended twice") {
-    const experiment given = with_links(link_fault("drop", that_link));
-    link_table table(given, 2, 1);
+TEST_CASE("a fault that begins twice is in force until it has ended twice") {
+    const experiment settings = with_links(link_fault("drop", faulty_link_keys));
+    link_table table(settings, 2, 1);
     int changes = 0;
-    table.on_change = [&](const link_id &which, const link_conditions &before, const link_conditions &now) {
+    table.on_change = [&](const link_id &id, const link_conditions &before, const link_conditions &now) {
         ++changes;
-        CHECK(which == faulty_link);
+        CHECK(id == faulty_link);
         CHECK(before.impaired() != now.impaired());
     };
     table.apply(0, true);
@@ -50,11 +50,11 @@
     CHECK(changes == 2);
 }
 
-TEST_CASE("overlapping slow faults: their delays add up, and the lowest rate counts") {
-    const experiment given =
-        with_links(link_fault("slow", that_link + "delay = \"100ms\"\npace = 2000\n") +
-                   link_fault("slow", that_link + "delay = \"50ms\"\npace = 1000\ndirection = \"there\"\n"));
-    link_table table(given, 2, 1);
+TEST_CASE("overlapping slow faults: delays add up, and the lowest rate applies") {
+    const experiment settings = with_links(
+        link_fault("slow", faulty_link_keys + "delay = \"100ms\"\npace = 2000\n") +
+        link_fault("slow", faulty_link_keys + "delay = \"50ms\"\npace = 1000\ndirection = \"there\"\n"));
+    link_table table(settings, 2, 1);
     table.apply(0, true);
     table.apply(1, true);
     const link_conditions &now = table.conditions(faulty_link);
@@ -67,9 +67,9 @@
     CHECK(table.conditions(faulty_link).forward.bytes_per_second == 2000);
 }
 
-TEST_CASE("a partition drops the links that cross its border, and no others") {
-    const experiment given = with_links(link_fault("partition", "proxies = [0]\nservers = [0]\n"));
-    link_table table(given, 2, 1);
+TEST_CASE("a partition affects exactly the links between its group and the other ends") {
+    const experiment settings = with_links(link_fault("partition", "proxies = [0]\nservers = [0]\n"));
+    link_table table(settings, 2, 1);
     CHECK(table.contains({link_kind::proxy_server, 0, 1}));
     CHECK(table.contains({link_kind::proxy_server, 1, 0}));
     CHECK(!table.contains({link_kind::proxy_server, 0, 0}));
@@ -79,12 +79,12 @@
     CHECK(!table.contains({link_kind::client_proxy, 0, 0}));
 }
 
-TEST_CASE("a datagram meets the conditions that a fault of either end brings") {
+TEST_CASE("a datagram is subject to the link faults of its sender and its receiver") {
     const std::string between = "between = [\"proxy-proxy\"]\nproxies = [0]\n";
-    const experiment given =
+    const experiment settings =
         with_links(link_fault("datagrams", between + "direction = \"there\"\nlost = 0.25\n") +
                    link_fault("datagrams", between + "direction = \"back\"\ndoubled = 0.5\n"));
-    link_table table(given, 2, 1);
+    link_table table(settings, 2, 1);
     table.apply(0, true);
     table.apply(1, true);
     CHECK(table.datagram_conditions(0, 1).loss_share == 0.25);
--- a/tests/testbed/many_test.cpp
+++ b/tests/testbed/many_test.cpp
@@ -440,10 +440,10 @@
     timeline clock(1);
     membership list(clock, given, 3, 1);
     list_service service(clock, given.list, list);
-    std::vector<std::pair<double, list_answer>> came;
-    const auto done = [&](const list_answer &with) { came.emplace_back(clock.now(), with); };
+    std::vector<std::pair<double, list_response>> came;
+    const auto done = [&](const list_response &with) { came.emplace_back(clock.now(), with); };
     for (int i = 0; i < 6; ++i)
-        service.call(std::nullopt, 0, done);
+        service.poll(std::nullopt, 0, done);
     REQUIRE(came.size() == 2); // one is served, three wait
     CHECK(came[0].second.refused);
     CHECK(came[0].second.retry_after == 5);
@@ -451,19 +451,19 @@
     REQUIRE(came.size() == 6);
     CHECK(came[2].first == doctest::Approx(1.05));
     CHECK(came[5].first == doctest::Approx(1.2));
-    CHECK(came[5].second.whole);
+    CHECK(came[5].second.is_snapshot);
     CHECK(came[5].second.members.size() == 3);
-    service.call(list.revision(), 1, done); // open until something is newer
+    service.poll(list.revision(), 1, done); // open until something is newer
     clock.advance(1.5, true);
     CHECK(came.size() == 6);
     CHECK(service.watches() == 1);
-    list.on_change = [&](const member_list::member &) { service.changed(); };
+    list.on_change = [&](const member_list::member &) { service.on_list_changed(); };
     list.publish({1, endpoint_state::draining, 0, 0});
     REQUIRE(came.size() == 7);
     CHECK(came[6].second.members.size() == 1);
-    service.call(list.revision(), 1, done);
+    service.poll(list.revision(), 1, done);
     clock.advance(1.6, true);
-    service.die();
+    service.stop();
     clock.advance(5, true);
     CHECK(came.size() == 7); // what died answers nobody
 }
@@ -475,7 +475,7 @@
         made("[fleet]\nservers = 4\nhosts = 2\nwarm = false\n[list]\nown_process = true\n"
              "notice = \"100ms\"\nlag = \"1ms\"\n");
     loop in;
-    run_environment all(in.clock, given, 1, 0.05, [&in] { return in.exact(); });
+    run_environment all(in.clock, given, 1, 0.05, [&in] { return in.precise_now(); });
     all.checker.allow_unknown_requests = true;
     const std::string folder = create_temporary_directory("many-parts-");
     {
--- a/tests/testbed/testbed_test.cpp
+++ b/tests/testbed/testbed_test.cpp
@@ -143,9 +143,9 @@
     of.send(1, 0, {3, 0, 0, false, true, 9000});
     of.clock.advance(2, true);
     REQUIRE(of.came.size() == 3);
-    CHECK(of.came[0].with.says == note::miss);
-    CHECK(of.came[1].with.says == note::pending);
-    CHECK(of.came[2].with.says == note::hit);
+    CHECK(of.came[0].with.cache == note::miss);
+    CHECK(of.came[1].with.cache == note::pending);
+    CHECK(of.came[2].with.cache == note::hit);
     CHECK(of.servers.source().fetches() == 1);
 
     const job booking{4, 0, 1, true, true, 9000}; // a write voids the copy
@@ -155,13 +155,13 @@
     of.clock.advance(5, true);
     REQUIRE(of.came.size() == 6);
     CHECK(of.checker.effects() == 4 + 1); // four reads and one write
-    CHECK(of.came[5].with.says == note::miss);
+    CHECK(of.came[5].with.cache == note::miss);
 
     for (operation op = 10; op < 200; ++op) // two cores and 100 places
         of.send(6, 3, {op, 0, 0, false, true, op % 100});
     of.clock.advance(10, true);
     const auto full = std::count_if(of.came.begin(), of.came.end(), [](const bench::one &each) {
-        return each.with.is == result::kind::queue_full;
+        return each.with.outcome == result::kind::queue_full;
     });
     CHECK(full == 190 - 102);
     CHECK(of.checker.broken() == 0);
@@ -189,9 +189,9 @@
     server.crash(false);
     CHECK(server.up());
     CHECK(server.warm_up_progress() < 0.25);
-    CHECK(server.kept() == 0);
+    CHECK(server.cached_key_count() == 0);
     server.slow(4, false);
-    CHECK(server.answers_probes());
+    CHECK(server.answers_health_checks());
 }
 
 // Each rule, broken on purpose by the stand-in proxy, is reported with the query's history; without the plant
