--- a/src/testbed/faults/system_faults.cpp
+++ b/src/testbed/faults/system_faults.cpp
@@ -23,14 +23,14 @@
 
 namespace {
 
-enum call : std::uint8_t {
-    of_accept,
-    of_socket,
-    of_connect,
-    of_recv,
-    of_send,
-    of_poll,
-    of_thread,
+enum system_call : std::uint8_t {
+    call_accept,
+    call_socket,
+    call_connect,
+    call_recv,
+    call_send,
+    call_poll,
+    call_thread,
     call_count
 };
 constexpr std::array<const char *, call_count> names = {"accept4", "socket", "connect",       "recv",
@@ -87,7 +87,7 @@
     }
 } report_at_exit;
 
-bool should_fail(call called) {
+bool should_fail(system_call called) {
     const double uptime = plan().uptime();
     if (uptime < plan().start || uptime >= plan().start + plan().duration || draw() >= plan().rate)
         return false;
@@ -119,20 +119,20 @@
 int accept4(int fd, sockaddr *from, socklen_t *size, int flags) {
     static const auto real = real_function<int (*)(int, sockaddr *, socklen_t *, int)>("accept4");
     static constexpr std::array errors = {ECONNABORTED, EMFILE, ENFILE, ENOBUFS, ENOMEM, EINTR, EPROTO};
-    return should_fail(of_accept) ? fail_with(errors) : real(fd, from, size, flags);
+    return should_fail(call_accept) ? fail_with(errors) : real(fd, from, size, flags);
 }
 
 int socket(int family, int type, int protocol) {
     static const auto real = real_function<int (*)(int, int, int)>("socket");
     static constexpr std::array errors = {EMFILE, ENFILE, ENOBUFS, ENOMEM};
-    return should_fail(of_socket) ? fail_with(errors) : real(family, type, protocol);
+    return should_fail(call_socket) ? fail_with(errors) : real(family, type, protocol);
 }
 
 int connect(int fd, const sockaddr *to, socklen_t size) {
     static const auto real = real_function<int (*)(int, const sockaddr *, socklen_t)>("connect");
     static constexpr std::array errors = {EADDRNOTAVAIL, ENETUNREACH, ETIMEDOUT,
                                           EHOSTUNREACH,  ENOBUFS,     EINTR};
-    if (!should_fail(of_connect))
+    if (!should_fail(call_connect))
         return real(fd, to, size);
     const int failed = fail_with(errors);
     return errno == EINTR ? interrupted_connect(fd, to, size) : failed;
@@ -141,7 +141,7 @@
 ssize_t recv(int fd, void *to, size_t size, int flags) {
     static const auto real = real_function<ssize_t (*)(int, void *, size_t, int)>("recv");
     static constexpr std::array errors = {EINTR, ENOMEM};
-    if (!should_fail(of_recv))
+    if (!should_fail(call_recv))
         return real(fd, to, size, flags);
     return draw() < 0.5 ? fail_with(errors) : real(fd, to, std::min<size_t>(size, 7), flags);
 }
@@ -149,7 +149,7 @@
 ssize_t sendmsg(int fd, const msghdr *message, int flags) {
     static const auto real = real_function<ssize_t (*)(int, const msghdr *, int)>("sendmsg");
     static constexpr std::array errors = {EINTR, ENOBUFS, ENOMEM, EAGAIN};
-    if (!should_fail(of_send))
+    if (!should_fail(call_send))
         return real(fd, message, flags);
     if (draw() < 0.5 || message->msg_iovlen == 0 || message->msg_iov[0].iov_len == 0 ||
         message->msg_controllen > 0)
@@ -166,7 +166,7 @@
     static const auto real =
         real_function<int (*)(pollfd *, nfds_t, const timespec *, const sigset_t *)>("ppoll");
     static constexpr std::array errors = {EINTR, ENOMEM};
-    return should_fail(of_poll) ? fail_with(errors) : real(fds, count, limit, mask);
+    return should_fail(call_poll) ? fail_with(errors) : real(fds, count, limit, mask);
 }
 
 int pthread_create(pthread_t *id, const pthread_attr_t *attributes, void *(*start_routine)(void *),
@@ -174,7 +174,7 @@
     static const auto real =
         real_function<int (*)(pthread_t *, const pthread_attr_t *, void *(*)(void *), void *)>(
             "pthread_create");
-    return should_fail(of_thread) ? EAGAIN : real(id, attributes, start_routine, argument);
+    return should_fail(call_thread) ? EAGAIN : real(id, attributes, start_routine, argument);
 }
 
 int clock_gettime(clockid_t clock, timespec *now) {
--- a/src/testbed/links/relay.hpp
+++ b/src/testbed/links/relay.hpp
@@ -3,15 +3,15 @@
 // opens one connection to the far end for each connection of the near end, and forwards ends, half-closes and
 // resets. It applies the table of conditions to the bytes and decides nothing else.
 //
-//   condition        what the relay does
-//   dropped          does not read that direction; a filter at the listener drops new connections, so that
-//   the
-//                    system does not respond to them. Afterwards it forwards the queued bytes, or, if their
-//                    sender has ended meanwhile, resets the receiver's connection
-//   resets           resets both ends, and new connections while the condition lasts
-//   half open        resets the far end; the near end notices nothing until the condition ends, then gets a
-//   reset delay, rate      delays each chunk of bytes, in order far end refuses  closes the listener, so that
-//   the system refuses connections
+// Effects of the conditions:
+// - dropped: The relay does not read that direction. A filter at the listener drops new connections, so that
+//   the system does not respond to them. Afterwards the relay forwards the queued bytes, or resets the
+//   receiver's connection if their sender has ended meanwhile.
+// - resets: The relay resets both ends, and new connections while the condition lasts.
+// - half open: The relay resets the far end. The near end notices nothing until the condition ends, and then
+//   gets a reset.
+// - delay, rate: The relay delays each chunk of bytes and keeps their order.
+// - far end refuses: The listener is closed, so that the system refuses connections.
 //
 // Used from the loop's thread only.
 #pragma once
