--- a/src/testbed/model/toml_section.hpp
+++ b/src/testbed/model/toml_section.hpp
@@ -62,7 +62,7 @@
             }
             known.append(known.empty() ? "" : ", ").append(name);
         }
-        refuse_key(key, "is \"" + value + "\", and known are: " + known);
+        refuse_key(key, "is \"" + value + "\"; known values: " + known);
     }
     // Calls `read` for the section of each [[key]].
     template <typename Read> void tables(const std::string &key, Read read) {
