--- a/src/proxy/operations/startup_preview.cpp
+++ b/src/proxy/operations/startup_preview.cpp
@@ -30,15 +30,15 @@
 
 void preview_startup(const configuration &settings, double now, std::ostream &output) {
     for (const auto &[field, host_port] :
-         {std::pair("listen", settings.listen), std::pair("discovery", settings.discovery),
-          std::pair("control", settings.control)})
+         {std::pair("listen", settings.listen_address), std::pair("discovery", settings.discovery_address),
+          std::pair("control", settings.control_address)})
         if (!host_port.empty() && !parse_address(host_port))
             throw parse_error{std::string(field) + " " + host_port + " is not a valid address"};
     const bool shared = settings.poll.service == discovery::list_service_kind::shared;
     const auto intervals = discovery::compute_poll_intervals(settings.poll);
-    output << std::setprecision(3) << settings.name << ": listens on " << settings.listen << ", list service "
-           << settings.discovery << ", " << (shared ? "shared by all proxies" : "an agent beside this proxy")
-           << '\n';
+    output << std::setprecision(3) << settings.name << ": listens on " << settings.listen_address
+           << ", list service " << settings.discovery_address << ", "
+           << (shared ? "shared by all proxies" : "an agent beside this proxy") << '\n';
     std::optional<endpoint_list> initial;
     output << "known list: ";
     if (settings.known_endpoints.type == json::kind::object)
