--- a/tests/testbed/many_test.cpp
+++ b/tests/testbed/many_test.cpp
@@ -368,17 +368,17 @@
     };
     CHECK(said(link_fault("drop", "")) == "taken");
     const std::vector<std::pair<std::string, std::string>> all = {
-        {link_fault("cut", ""), "day.toml:7: link.kind is \"cut\", and known are: drop, one_way, reset, "},
+        {link_fault("cut", ""), "day.toml:7: link.kind is \"cut\"; known values: drop, one_way, reset, "},
         {"[[link]]\nkind = \"drop\"\nat = \"1s\"\n", "day.toml:6: drop needs `for`"},
         {link_fault("drop", "between = [\"proxy-moon\"]"),
          "day.toml:10: link.between holds \"proxy-moon\", "},
         {link_fault("drop", "proxies = [2]"),
-         "day.toml:10: link.proxies holds what is no whole number below 2"},
+         "day.toml:10: link.proxies contains a value that is not a whole number below 2"},
         {link_fault("drop", "proxies = [\"1-2\"]"),
-         "day.toml:10: link.proxies holds what is no range below 2"},
+         "day.toml:10: link.proxies contains a value that is not a range below 2"},
         {link_fault("one_way", "direction = \"both\""), "day.toml:6: one_way is there or back; both is drop"},
         {link_fault("slow", ""), "day.toml:6: slow needs delay, jitter or pace"},
-        {link_fault("drop", "lost = 0.5"), "day.toml:6: drop has no use for delay"},
+        {link_fault("drop", "lost = 0.5"), "day.toml:6: drop does not support delay"},
         {link_fault("datagrams", ""), "day.toml:6: datagrams needs lost, doubled or reordered"},
         {link_fault("partition", ""), "day.toml:6: partition needs a group"},
         {link_fault("drop", "list = true"), "day.toml:6: drop has no group"},
@@ -386,7 +386,7 @@
         {"[[fault]]\nkind = \"proxy_restart\"\nat = \"1s\"\n", "day.toml:6: proxy_restart needs proxies"},
         {"[[fault]]\nkind = \"host_kill\"\nat = \"1s\"\n", "day.toml:6: host_kill needs hosts"},
         {"[[fault]]\nkind = \"host_kill\"\nat = \"1s\"\nhosts = [2]\n",
-         "day.toml:9: fault.hosts holds what is no whole number below 2"},
+         "day.toml:9: fault.hosts contains a value that is not a whole number below 2"},
         {"[[fault]]\nkind = \"proxy_end\"\nat = \"1s\"\nproxy_share = 1\nsteps = 2\n",
          "day.toml:6: steps and over go together"},
     };
@@ -440,10 +440,10 @@
     timeline clock(1);
     membership list(clock, given, 3, 1);
     list_service service(clock, given.list, list);
-    std::vector<std::pair<double, list_answer>> came;
-    const auto done = [&](const list_answer &with) { came.emplace_back(clock.now(), with); };
+    std::vector<std::pair<double, list_response>> came;
+    const auto done = [&](const list_response &with) { came.emplace_back(clock.now(), with); };
     for (int i = 0; i < 6; ++i)
-        service.call(std::nullopt, 0, done);
+        service.poll(std::nullopt, 0, done);
     REQUIRE(came.size() == 2); // one is served, three wait
     CHECK(came[0].second.refused);
     CHECK(came[0].second.retry_after == 5);
@@ -451,19 +451,19 @@
     REQUIRE(came.size() == 6);
     CHECK(came[2].first == doctest::Approx(1.05));
     CHECK(came[5].first == doctest::Approx(1.2));
-    CHECK(came[5].second.whole);
+    CHECK(came[5].second.is_snapshot);
     CHECK(came[5].second.members.size() == 3);
-    service.call(list.revision(), 1, done); // open until something is newer
+    service.poll(list.revision(), 1, done); // open until something is newer
     clock.advance(1.5, true);
     CHECK(came.size() == 6);
     CHECK(service.watches() == 1);
-    list.on_change = [&](const member_list::member &) { service.changed(); };
+    list.on_change = [&](const member_list::member &) { service.on_list_changed(); };
     list.publish({1, endpoint_state::draining, 0, 0});
     REQUIRE(came.size() == 7);
     CHECK(came[6].second.members.size() == 1);
-    service.call(list.revision(), 1, done);
+    service.poll(list.revision(), 1, done);
     clock.advance(1.6, true);
-    service.die();
+    service.stop();
     clock.advance(5, true);
     CHECK(came.size() == 7); // what died answers nobody
 }
@@ -475,7 +475,7 @@
         made("[fleet]\nservers = 4\nhosts = 2\nwarm = false\n[list]\nown_process = true\n"
              "notice = \"100ms\"\nlag = \"1ms\"\n");
     loop in;
-    run_environment all(in.clock, given, 1, 0.05, [&in] { return in.exact(); });
+    run_environment all(in.clock, given, 1, 0.05, [&in] { return in.precise_now(); });
     all.checker.allow_unknown_requests = true;
     const std::string folder = create_temporary_directory("many-parts-");
     {
--- a/tests/testbed/testbed_test.cpp
+++ b/tests/testbed/testbed_test.cpp
@@ -79,16 +79,16 @@
         {"lenght = \"2s\"\n" + use, "day.toml:1: unknown key lenght"},
         {"length = 2\n" + use, "day.toml:1: length is no text"},
         {"length = \"2 h\"\n" + use,
-         "day.toml:1: length is no time with a unit, as \"8ms\", \"2s\", \"200us\" or \"1min\""},
+         "day.toml:1: length is not a time with a unit, such as \"8ms\", \"2s\", \"200us\" or \"1min\""},
         {"length = \"2.5.1s\"\n" + use,
-         "day.toml:1: length is no time with a unit, as \"8ms\", \"2s\", \"200us\" or \"1min\""},
-        {use + "work = \"8\"\n",
-         "day.toml:3: use_case.work is no time with a unit, as \"8ms\", \"2s\", \"200us\" or \"1min\""},
+         "day.toml:1: length is not a time with a unit, such as \"8ms\", \"2s\", \"200us\" or \"1min\""},
+        {use + "work = \"8\"\n", "day.toml:3: use_case.work is not a time with a unit, such as \"8ms\", "
+                                 "\"2s\", \"200us\" or \"1min\""},
         {"[fleet]\nservers = 0\n" + use, "day.toml:2: fleet.servers is not between 1 and 20000"},
         {"[fleet]\nservers = 2.5\n" + use, "day.toml:2: fleet.servers is no whole number"},
         {"[fleet]\nstores = 3\n" + use, "day.toml:2: unknown key fleet.stores"},
         {use + "effect = \"maybe\"\n",
-         "day.toml:3: use_case.effect is \"maybe\", and known are: idempotent, deduplicated, non_idempotent"},
+         "day.toml:3: use_case.effect is \"maybe\"; known values: idempotent, deduplicated, non_idempotent"},
         {use + "effect = \"deduplicated\"\n", "day.toml:1: a deduplicated use_case needs a window"},
         {use + "[[fault]]\nkind = \"crash\"\nat = \"1s\"\n", "day.toml:3: crash needs servers or zone"},
         {use + "[[fault]]\nkind = \"crash\"\nat = \"1s\"\nservers = [7]\n",
@@ -97,7 +97,8 @@
          "day.toml:6: fault.zone names none of the fleet's zones"},
         {use + "[[fault]]\nkind = \"flood\"\nat = \"1s\"\ntenant = \"x\"\n",
          "day.toml:6: fault.tenant names no tenant"},
-        {"seeds = [1, \"x\"]\n" + use, "day.toml:1: seeds holds what is no whole number below 2.14748e+09"},
+        {"seeds = [1, \"x\"]\n" + use,
+         "day.toml:1: seeds contains a value that is not a whole number below 2.14748e+09"},
         {"length = \"1s\"\nlength = \"1s\"\n" + use, "day.toml:2:"},
         {"[fleet\n" + use, "day.toml:1:"}};
     for (const auto &each : all) {
@@ -143,9 +144,9 @@
     of.send(1, 0, {3, 0, 0, false, true, 9000});
     of.clock.advance(2, true);
     REQUIRE(of.came.size() == 3);
-    CHECK(of.came[0].with.says == note::miss);
-    CHECK(of.came[1].with.says == note::pending);
-    CHECK(of.came[2].with.says == note::hit);
+    CHECK(of.came[0].with.cache == note::miss);
+    CHECK(of.came[1].with.cache == note::pending);
+    CHECK(of.came[2].with.cache == note::hit);
     CHECK(of.servers.source().fetches() == 1);
 
     const job booking{4, 0, 1, true, true, 9000}; // a write voids the copy
@@ -155,13 +156,13 @@
     of.clock.advance(5, true);
     REQUIRE(of.came.size() == 6);
     CHECK(of.checker.effects() == 4 + 1); // four reads and one write
-    CHECK(of.came[5].with.says == note::miss);
+    CHECK(of.came[5].with.cache == note::miss);
 
     for (operation op = 10; op < 200; ++op) // two cores and 100 places
         of.send(6, 3, {op, 0, 0, false, true, op % 100});
     of.clock.advance(10, true);
     const auto full = std::count_if(of.came.begin(), of.came.end(), [](const bench::one &each) {
-        return each.with.is == result::kind::queue_full;
+        return each.with.outcome == result::kind::queue_full;
     });
     CHECK(full == 190 - 102);
     CHECK(of.checker.broken() == 0);
@@ -189,9 +190,9 @@
     server.crash(false);
     CHECK(server.up());
     CHECK(server.warm_up_progress() < 0.25);
-    CHECK(server.kept() == 0);
+    CHECK(server.cached_key_count() == 0);
     server.slow(4, false);
-    CHECK(server.answers_probes());
+    CHECK(server.answers_health_checks());
 }
 
 // Each rule, broken on purpose by the stand-in proxy, is reported with the query's history; without the plant
