--- a/tests/testbed/many_test.cpp
+++ b/tests/testbed/many_test.cpp
@@ -371,7 +371,7 @@
         {link_fault("cut", ""), "day.toml:7: link.kind is \"cut\"; known values: drop, one_way, reset, "},
         {"[[link]]\nkind = \"drop\"\nat = \"1s\"\n", "day.toml:6: drop needs `for`"},
         {link_fault("drop", "between = [\"proxy-moon\"]"),
-         "day.toml:10: link.between holds \"proxy-moon\", "},
+         "day.toml:10: link.between holds \"proxy-moon\"; "},
         {link_fault("drop", "proxies = [2]"),
          "day.toml:10: link.proxies contains a value that is not a whole number below 2"},
         {link_fault("drop", "proxies = [\"1-2\"]"),
